--- a/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/Attempt.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/Attempt.java
@@ -15,7 +15,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.ragworthook.core.fleet.Address;
 import org.ragworthook.gateway.dialect.HeaderNames;
-import org.ragworthook.gateway.event.EventSplitter;
+import org.ragworthook.gateway.event.SseFrameDecoder;
 import org.ragworthook.gateway.http.ClientConnection;
 import org.ragworthook.gateway.http.ConnectionPool;
 import org.ragworthook.gateway.http.ResponseListener;
@@ -48,7 +48,7 @@
 
 	private final AttemptListener listener;
 
-	private final EventSplitter splitter = EventSplitter.start();
+	private final SseFrameDecoder splitter = SseFrameDecoder.start();
 
 	private ClientConnection connection;
 
@@ -90,14 +90,14 @@
 	 * @return the attempt
 	 */
 	public static Attempt start(TrackedUpstream upstream, WorkClass work, ConnectionPool pool, HeaderNames names,
-			RequestMaker request, String requestId, long lastEvent, AttemptListener listener) {
+			RequestFactory request, String requestId, long lastEvent, AttemptListener listener) {
 		Attempt attempt = new Attempt(upstream, work, pool, names, lastEvent, listener);
 		upstream.begin(work);
 		pool.acquire(attempt.address, (connection) -> attempt.connected(connection, request, requestId));
 		return attempt;
 	}
 
-	private void connected(Optional<ClientConnection> opened, RequestMaker request, String requestId) {
+	private void connected(Optional<ClientConnection> opened, RequestFactory request, String requestId) {
 		if (this.state != State.CONNECTING) {
 			opened.ifPresent((connection) -> this.pool.release(this.address, connection));
 			return;
@@ -125,7 +125,7 @@
 	 * @param body the body
 	 * @return the request, with its length stated
 	 */
-	public static FullHttpRequest request(String method, String uri, HttpHeaders headers, byte[] body) {
+	public static FullHttpRequest newRequest(String method, String uri, HttpHeaders headers, byte[] body) {
 		DefaultHttpHeaders copy = new DefaultHttpHeaders(false);
 		copy.set(headers);
 		if (body.length > 0 || !"GET".equals(method)) {
@@ -155,7 +155,7 @@
 	 * Returns the last event that was passed on.
 	 * @return its id, or 0
 	 */
-	public long lastEvent() {
+	public long lastEventId() {
 		return this.lastEvent;
 	}
 
@@ -172,7 +172,7 @@
 	/**
 	 * Gives the attempt up. The connection is closed, which stops the upstream's work.
 	 */
-	public void abandon() {
+	public void cancel() {
 		if (this.state == State.ENDED) {
 			return;
 		}
@@ -192,7 +192,7 @@
 			return;
 		}
 		if (!head.headers().contains(this.names.signature())) {
-			abandon();
+			cancel();
 			this.listener.failed(SendFailure.MALFORMED);
 			return;
 		}
@@ -221,7 +221,7 @@
 		if (this.state != State.ANSWERING || this.gap) {
 			return;
 		}
-		Optional<Long> id = EventSplitter.id(event);
+		Optional<Long> id = SseFrameDecoder.id(event);
 		if (id.isPresent()) {
 			if (id.get() <= this.lastEvent) {
 				return;
@@ -239,14 +239,14 @@
 	public void complete() {
 		if (this.state == State.REFUSED) {
 			giveBack();
-			this.listener.notRun(this.refusal);
+			this.listener.notExecuted(this.refusal);
 			return;
 		}
 		if (this.state != State.ANSWERING) {
 			return;
 		}
 		if (this.gap || (this.events && this.splitter.midway())) {
-			abandon();
+			cancel();
 			this.listener.failed(SendFailure.MALFORMED);
 			return;
 		}
@@ -262,7 +262,7 @@
 		}
 		finish();
 		if (refused) {
-			this.listener.notRun(this.refusal);
+			this.listener.notExecuted(this.refusal);
 		}
 		else {
 			this.listener.failed(failure);
@@ -290,7 +290,7 @@
 	 * Makes the request when a connection is there, so that it states the time left then.
 	 */
 	@FunctionalInterface
-	public interface RequestMaker {
+	public interface RequestFactory {
 
 		/**
 		 * Makes the request.
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/AttemptListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/AttemptListener.java
@@ -29,7 +29,7 @@
 	 * Learns that the upstream did not run the request and says so.
 	 * @param status its status
 	 */
-	void notRun(int status);
+	void notExecuted(int status);
 
 	/**
 	 * Learns that no complete answer comes.
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/HeaderNames.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/HeaderNames.java
@@ -43,7 +43,7 @@
 	 * @param headers the headers that an upstream is to get
 	 * @param name the account's name, or empty for a request that belongs to none
 	 */
-	public void stampAccount(HttpHeaders headers, Optional<String> name) {
+	public void replaceKeyWithAccount(HttpHeaders headers, Optional<String> name) {
 		headers.remove(this.key);
 		headers.remove(this.account);
 		name.ifPresent((present) -> headers.set(this.account, present));
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/event/EventSplitter.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/event/SseFrameDecoder.java
@@ -14,7 +14,7 @@
  * other upstream could go on after it; a caller would see a broken event. So an event is
  * passed on once its end has come.
  */
-public final class EventSplitter {
+public final class SseFrameDecoder {
 
 	private static final int FIRST_CAPACITY = 512;
 
@@ -28,15 +28,15 @@
 
 	private int scanned;
 
-	private EventSplitter() {
+	private SseFrameDecoder() {
 	}
 
 	/**
 	 * Returns a splitter at the start of a stream.
 	 * @return a new splitter
 	 */
-	public static EventSplitter start() {
-		return new EventSplitter();
+	public static SseFrameDecoder start() {
+		return new SseFrameDecoder();
 	}
 
 	/**
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemRun.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemRun.java
@@ -14,7 +14,7 @@
 import org.ragworthook.gateway.attempt.Attempt;
 import org.ragworthook.gateway.attempt.AttemptListener;
 import org.ragworthook.gateway.dialect.HeaderNames;
-import org.ragworthook.gateway.event.EventSplitter;
+import org.ragworthook.gateway.event.SseFrameDecoder;
 import org.ragworthook.gateway.http.ConnectionPool;
 import org.ragworthook.gateway.http.SendFailure;
 import org.ragworthook.gateway.upstream.TrackedUpstream;
@@ -169,12 +169,12 @@
 	private FullHttpRequest message(HeaderNames names) {
 		HttpHeaders headers = new DefaultHttpHeaders(false);
 		this.item.headers().forEach(headers::set);
-		names.stampAccount(headers, this.job.account());
+		names.replaceKeyWithAccount(headers, this.job.account());
 		headers.set(HttpHeaderNames.HOST, this.job.host());
 		if (this.lastEvent > 0) {
 			headers.set(names.lastEventId(), this.lastEvent);
 		}
-		return Attempt.request("POST", this.item.path(), headers, Base64.getDecoder().decode(this.item.body()));
+		return Attempt.newRequest("POST", this.item.path(), headers, Base64.getDecoder().decode(this.item.body()));
 	}
 
 	/**
@@ -182,7 +182,7 @@
 	 */
 	void stop() {
 		if (this.attempt != null) {
-			this.attempt.abandon();
+			this.attempt.cancel();
 			this.attempt = null;
 		}
 	}
@@ -233,8 +233,8 @@
 			if (ItemRun.this.status != OK) {
 				return;
 			}
-			ItemRun.this.lastEvent = ItemRun.this.attempt.lastEvent();
-			EventSplitter.data(data).ifPresent((text) -> {
+			ItemRun.this.lastEvent = ItemRun.this.attempt.lastEventId();
+			SseFrameDecoder.data(data).ifPresent((text) -> {
 				if (ItemRun.this.hasOutput) {
 					ItemRun.this.output.append('\n');
 				}
@@ -264,7 +264,7 @@
 		}
 
 		@Override
-		public void notRun(int refusal) {
+		public void notExecuted(int refusal) {
 			ItemRun run = ItemRun.this;
 			LOG.info("item_not_run", "job", run.job.id(), "item", run.item.id(), "upstream", run.attempt.upstream(),
 					"status", refusal);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/Backlog.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/Backlog.java
@@ -29,24 +29,24 @@
 	 * @param account whose jobs they are
 	 * @return tokens; fails if the store does not answer
 	 */
-	CompletableFuture<Long> atMost(Route route, Optional<String> account);
+	CompletableFuture<Long> readUpperBound(Route route, Optional<String> account);
 
 	/**
 	 * Sets what shows the others the jobs that this process has accepted a moment ago.
 	 * @param accepted gives tokens by the key of route and account
 	 */
-	void show(Supplier<Map<Integer, Long>> accepted);
+	void recentlyAccepted(Supplier<Map<Integer, Long>> accepted);
 
 	/**
 	 * Shows them now.
 	 */
-	void tell();
+	void sendReport();
 
 	/**
 	 * Tells the process that runs a job that the store has it anew, or as ended.
 	 * @param jobId the job
 	 * @param ended whether it was ended
 	 */
-	void changed(String jobId, boolean ended);
+	void jobChanged(String jobId, boolean ended);
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/Frontend.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/Frontend.java
@@ -121,14 +121,14 @@
 	/**
 	 * Learns that there may be room at upstreams.
 	 */
-	public void roomChanged() {
+	public void capacityChanged() {
 		this.queues.changed();
 	}
 
 	/**
 	 * Learns that a configuration has come into force.
 	 */
-	public void configured() {
+	public void configurationChanged() {
 		this.early.configured();
 		this.queues.changed();
 	}
@@ -145,7 +145,7 @@
 	/**
 	 * Lets callers go: each answer asks them to close their connection.
 	 */
-	public void leave() {
+	public void drain() {
 		this.leaving = true;
 	}
 
@@ -155,7 +155,7 @@
 	 * the time to stop is over. What is being answered goes on. (Vert.x's own shutdown of
 	 * a server cuts answers in progress.)
 	 */
-	public void refuseMore() {
+	public void rejectNewRequests() {
 		if (!this.refusing) {
 			this.refusing = true;
 			LOG.info("refusing_more", "open", this.open, "connections", this.connections.count());
@@ -167,7 +167,7 @@
 	 * Returns how many requests are not answered yet.
 	 * @return the count
 	 */
-	public int open() {
+	public int openRequests() {
 		return this.open;
 	}
 
@@ -322,7 +322,7 @@
 			return;
 		}
 		HttpHeaders headers = HopHeaders.endToEnd(request.headers());
-		this.context.headers().stampAccount(headers, account.map(ClientAccount::name));
+		this.context.headers().replaceKeyWithAccount(headers, account.map(ClientAccount::name));
 		Duration allowed = millis(request, this.context.headers().deadlineMillis())
 			.filter((stated) -> stated.compareTo(route.timeout()) < 0)
 			.orElse(route.timeout());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlinePart.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/FrontendFactory.java
@@ -11,9 +11,9 @@
 /**
  * Puts the parts that serve callers together.
  */
-public final class OnlinePart {
+public final class FrontendFactory {
 
-	private OnlinePart() {
+	private FrontendFactory() {
 	}
 
 	/**
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
@@ -68,7 +68,7 @@
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
 		this.loop = Objects.requireNonNull(loop, "loop is null");
-		backlog.show(quota::backlog);
+		backlog.recentlyAccepted(quota::backlog);
 	}
 
 	/**
@@ -88,7 +88,7 @@
 	 * @param jobId the job
 	 */
 	void ended(String jobId) {
-		this.backlog.changed(jobId, true);
+		this.backlog.jobChanged(jobId, true);
 	}
 
 	private void decide(Submission submission, WaitingTokens others) {
@@ -111,7 +111,7 @@
 	private JobQuota.Reservation reserve(Submission submission) {
 		JobQuota.Reservation reservation = this.quota.reserve(submission.route, submission.job.account(),
 				submission.job.tokens());
-		this.backlog.tell();
+		this.backlog.sendReport();
 		return reservation;
 	}
 
@@ -132,7 +132,7 @@
 	 * @param submission the job
 	 */
 	private void lookInStore(Submission submission) {
-		this.backlog.atMost(submission.route, submission.job.account()).whenCompleteAsync((tokens, failure) -> {
+		this.backlog.readUpperBound(submission.route, submission.job.account()).whenCompleteAsync((tokens, failure) -> {
 			if (failure == null) {
 				decide(submission, new WaitingTokens(true, tokens));
 				return;
@@ -182,7 +182,7 @@
 		this.store.create(job).whenCompleteAsync((fresh, failure) -> {
 			if (failure == null) {
 				LOG.info("job_accepted", "job", job.id(), "items", job.itemCount(), "fresh", fresh);
-				this.backlog.changed(job.id(), false);
+				this.backlog.jobChanged(job.id(), false);
 				reply.status(202, "", Optional.empty());
 				return;
 			}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
@@ -183,7 +183,7 @@
 	}
 
 	private FullHttpRequest message() {
-		FullHttpRequest message = Attempt.request(this.request.method(), this.request.uri(), this.request.headers(),
+		FullHttpRequest message = Attempt.newRequest(this.request.method(), this.request.uri(), this.request.headers(),
 				this.request.body());
 		message.headers().set(this.context.headers().deadlineMillis(), this.request.deadline().millis());
 		if (this.lastEvent > 0) {
@@ -232,7 +232,7 @@
 		LOG.info("moves", "request", this.request.id(), "from", silent, "to", other.get(), "last_event",
 				this.lastEvent);
 		this.context.metrics().attemptFailed("silent");
-		this.attempt.abandon();
+		this.attempt.cancel();
 		this.sends++;
 		this.mayHaveRun = true;
 		send(other.get(), Chooser.ENTRY, false, SlotSharing.needsYield(other.get()));
@@ -287,7 +287,7 @@
 		this.queues.stalls().remove(this);
 		this.queues.leave(this.service, this);
 		if (this.attempt != null) {
-			this.attempt.abandon();
+			this.attempt.cancel();
 		}
 		this.quota.ended();
 		LOG.info("request_ended", "request", this.request.id(), "route", this.request.route().name(), "config",
@@ -412,7 +412,7 @@
 		public void data(byte[] data) {
 			OnlineExchange exchange = OnlineExchange.this;
 			exchange.active();
-			exchange.lastEvent = exchange.attempt.lastEvent();
+			exchange.lastEvent = exchange.attempt.lastEventId();
 			exchange.response.write(data);
 			if (exchange.response.full()) {
 				Attempt writing = exchange.attempt;
@@ -430,7 +430,7 @@
 		}
 
 		@Override
-		public void notRun(int status) {
+		public void notExecuted(int status) {
 			OnlineExchange exchange = OnlineExchange.this;
 			if (status != MISDIRECTED) {
 				exchange.sends++;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -45,8 +45,8 @@
 import org.ragworthook.gateway.metrics.GatewayMetrics;
 import org.ragworthook.gateway.online.CallerAccess;
 import org.ragworthook.gateway.online.Frontend;
+import org.ragworthook.gateway.online.FrontendFactory;
 import org.ragworthook.gateway.online.OnlineContext;
-import org.ragworthook.gateway.online.OnlinePart;
 import org.ragworthook.gateway.peer.LeaseReports;
 import org.ragworthook.gateway.peer.LoadExchange;
 import org.ragworthook.gateway.peer.PeerDirectory;
@@ -236,13 +236,13 @@
 		CallerAccess access = access();
 		JobReader reader = JobReader.of(this.jobs, this.peers.listings(), this.timers);
 		this.peers.listings().onNews(reader::newsCame);
-		Frontend front = OnlinePart.of(this.vertx, context, access, this.jobs, reader, this.platform.jobFormat(),
+		Frontend front = FrontendFactory.of(this.vertx, context, access, this.jobs, reader, this.platform.jobFormat(),
 				this.loop, this.health::up,
 				new JobBacklog(this.peers.loads(), this.peers.changedJobs(), this.platform::jobs));
 		front.shedConnectionsWhile(this::shedsConnections);
-		this.configuration.onChange(front::configured);
+		this.configuration.onChange(front::configurationChanged);
 		this.frontend = Optional.of(front);
-		this.peers.loads().onReport(front::roomChanged);
+		this.peers.loads().onReport(front::capacityChanged);
 		Address address = this.settings.front().orElseThrow();
 		this.listening.start("callers", () -> front.listen(address));
 		this.settings.readiness()
@@ -342,7 +342,7 @@
 		long begun = this.ticker.nanos();
 		this.leaving = true;
 		this.loop.execute(() -> {
-			this.frontend.ifPresent(Frontend::leave);
+			this.frontend.ifPresent(Frontend::drain);
 			this.runner.map(JobRunner::stop)
 				.orElse(CompletableFuture.completedFuture(null))
 				.whenComplete((saved, failure) -> this.peers.loads().leave());
@@ -355,12 +355,12 @@
 				break;
 			}
 			if (gone.compareTo(least) >= 0) {
-				this.loop.execute(() -> this.frontend.ifPresent(Frontend::refuseMore));
+				this.loop.execute(() -> this.frontend.ifPresent(Frontend::rejectNewRequests));
 			}
 			pause();
 		}
-		LOG.info("stopped", "instance", this.settings.instance(), "open", this.frontend.map(Frontend::open).orElse(0),
-				"ms", (this.ticker.nanos() - begun) / 1_000_000);
+		LOG.info("stopped", "instance", this.settings.instance(), "open",
+				this.frontend.map(Frontend::openRequests).orElse(0), "ms", (this.ticker.nanos() - begun) / 1_000_000);
 	}
 
 	/**
@@ -376,7 +376,7 @@
 
 	private boolean idle() {
 		CompletableFuture<Boolean> idle = new CompletableFuture<>();
-		this.loop.execute(() -> idle.complete(this.frontend.map((front) -> front.open() == 0).orElse(true)
+		this.loop.execute(() -> idle.complete(this.frontend.map((front) -> front.openRequests() == 0).orElse(true)
 				&& this.runner.map((present) -> !present.unlisted()).orElse(true)));
 		return idle.join();
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/JobBacklog.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/JobBacklog.java
@@ -38,7 +38,7 @@
 	}
 
 	@Override
-	public CompletableFuture<Long> atMost(Route route, Optional<String> account) {
+	public CompletableFuture<Long> readUpperBound(Route route, Optional<String> account) {
 		return this.jobs.get()
 			.list()
 			.thenApply((all) -> all.changes()
@@ -50,17 +50,17 @@
 	}
 
 	@Override
-	public void show(Supplier<Map<Integer, Long>> accepted) {
+	public void recentlyAccepted(Supplier<Map<Integer, Long>> accepted) {
 		this.loads.accepted(accepted);
 	}
 
 	@Override
-	public void tell() {
+	public void sendReport() {
 		this.loads.flush();
 	}
 
 	@Override
-	public void changed(String jobId, boolean ended) {
+	public void jobChanged(String jobId, boolean ended) {
 		this.changes.changed(jobId, ended);
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/event/EventSplitterTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/event/SseFrameDecoderTests.java
@@ -15,14 +15,14 @@
 /**
  * Whole events out of pieces of any size.
  */
-class EventSplitterTests {
+class SseFrameDecoderTests {
 
 	private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nx-versions: 3\nid: 3\ndata: c\n\n";
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 5, 7, 11, 1_000 })
 	void shouldFindTheSameEventsInPiecesOfAnySize(int size) {
-		EventSplitter splitter = EventSplitter.start();
+		SseFrameDecoder splitter = SseFrameDecoder.start();
 		List<String> events = new ArrayList<>();
 		for (int at = 0; at < STREAM.length(); at += size) {
 			String piece = STREAM.substring(at, Math.min(STREAM.length(), at + size));
@@ -32,9 +32,10 @@
 		assertThat(events).hasSize(3);
 		assertThat(String.join("", events)).isEqualTo(STREAM);
 		assertThat(splitter.midway()).isFalse();
-		assertThat(events.stream().map((event) -> EventSplitter.id(event.getBytes(StandardCharsets.UTF_8))).toList())
+		assertThat(events.stream().map((event) -> SseFrameDecoder.id(event.getBytes(StandardCharsets.UTF_8))).toList())
 			.isEqualTo(List.of(Optional.of(1L), Optional.of(2L), Optional.of(3L)));
-		assertThat(events.stream().map((event) -> EventSplitter.data(event.getBytes(StandardCharsets.UTF_8))).toList())
+		assertThat(
+				events.stream().map((event) -> SseFrameDecoder.data(event.getBytes(StandardCharsets.UTF_8))).toList())
 			.isEqualTo(List.of(Optional.of("a"), Optional.of("b"), Optional.of("c")));
 	}
 
@@ -44,7 +45,7 @@
 	 */
 	@Test
 	void shouldHoldBackAnEventWithoutItsEnd() {
-		EventSplitter splitter = EventSplitter.start();
+		SseFrameDecoder splitter = SseFrameDecoder.start();
 		List<String> events = new ArrayList<>();
 		splitter.feed(Unpooled.copiedBuffer("id: 1\ndata: a\n\nid: 2\nda", StandardCharsets.UTF_8),
 				(event) -> events.add(new String(event, StandardCharsets.UTF_8)));
@@ -55,13 +56,13 @@
 	@Test
 	void shouldJoinLinesOfData() {
 		byte[] event = "id: 1\ndata: a\ndata:b\n\n".getBytes(StandardCharsets.UTF_8);
-		assertThat(EventSplitter.data(event)).hasValue("a\nb");
+		assertThat(SseFrameDecoder.data(event)).hasValue("a\nb");
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "data: a\n\n", "id: x\ndata: a\n\n", "\n", ": note\n\n" })
 	void shouldFindNoIdWhereThereIsNone(String event) {
-		assertThat(EventSplitter.id(event.getBytes(StandardCharsets.UTF_8))).isEmpty();
+		assertThat(SseFrameDecoder.id(event.getBytes(StandardCharsets.UTF_8))).isEmpty();
 	}
 
 }
