--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/GatheringRule.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/CoalescingDelay.java
@@ -10,7 +10,7 @@
  * fleet. After a pause one call takes all that has changed meanwhile. A lone change is
  * seen at once, since a watch that has nothing to tell waits at the store.
  */
-public final class GatheringRule {
+public final class CoalescingDelay {
 
 	/** How much each process adds to the pause. */
 	private static final Duration PER_PROCESS = Duration.ofMillis(25);
@@ -35,7 +35,7 @@
 
 	private final Duration longest;
 
-	private GatheringRule(Duration longest) {
+	private CoalescingDelay(Duration longest) {
 		this.longest = longest;
 	}
 
@@ -45,15 +45,15 @@
 	 * it any longer
 	 * @return the rule
 	 */
-	public static GatheringRule within(Duration notice) {
-		return new GatheringRule(notice.dividedBy(PART_OF_NOTICE));
+	public static CoalescingDelay forDrainNotice(Duration notice) {
+		return new CoalescingDelay(notice.dividedBy(PART_OF_NOTICE));
 	}
 
 	/**
 	 * Returns the longest pause.
 	 * @return the time by which a change may be seen late
 	 */
-	Duration longest() {
+	Duration max() {
 		return this.longest;
 	}
 
@@ -62,7 +62,7 @@
 	 * @param processes how many processes watch, this one included
 	 * @return the pause
 	 */
-	public Duration pause(int processes) {
+	public Duration forProcesses(int processes) {
 		return pause(PER_PROCESS, processes, this.longest);
 	}
 
@@ -71,7 +71,7 @@
 	 * @param runners how many processes run jobs, this one included
 	 * @return the pause
 	 */
-	public static Duration pauseForJobs(int runners) {
+	public static Duration forJobs(int runners) {
 		return pause(PER_RUNNER, runners, MOST_JOBS);
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/FeedFollower.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/FeedFollower.java
@@ -145,7 +145,7 @@
 	 * Learns that there is a change that is not to wait for others: the pause in which
 	 * changes gather is over.
 	 */
-	public void hurry() {
+	public void pollNow() {
 		this.pauseEnd.ifPresent(Runnable::run);
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/StoreHealth.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/StoreHealth.java
@@ -32,7 +32,7 @@
 	 * @param ticker the time
 	 * @return a new health
 	 */
-	public static StoreHealth unknown(Ticker ticker) {
+	public static StoreHealth of(Ticker ticker) {
 		return new StoreHealth(ticker);
 	}
 
@@ -70,7 +70,7 @@
 	 * Returns for how long the store has not answered.
 	 * @return the time, zero while it answers
 	 */
-	public Duration lostFor() {
+	public Duration downFor() {
 		return this.up ? Duration.ZERO : Duration.ofNanos(this.ticker.nanos() - this.lostNanos.get());
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/UpstreamFeedListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/UpstreamFeedListener.java
@@ -57,7 +57,7 @@
 	 * Tells whether the platform has listed the upstreams at least once.
 	 * @return whether it has
 	 */
-	public boolean listed() {
+	public boolean hasListed() {
 		return this.listed;
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemPlacing.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemPlacing.java
@@ -24,13 +24,13 @@
 
 	private static final EventLog LOG = EventLog.of(ItemPlacing.class);
 
-	private final JobRunner.Parts parts;
+	private final JobRunner.Dependencies parts;
 
 	private final ItemOrder order;
 
 	private final ItemRun.ItemListener listener;
 
-	ItemPlacing(JobRunner.Parts parts, ItemOrder order, ItemRun.ItemListener listener) {
+	ItemPlacing(JobRunner.Dependencies parts, ItemOrder order, ItemRun.ItemListener listener) {
 		this.parts = Objects.requireNonNull(parts, "parts is null");
 		this.order = Objects.requireNonNull(order, "order is null");
 		this.listener = Objects.requireNonNull(listener, "listener is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobIds.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobIds.java
@@ -21,7 +21,7 @@
 	 * @param chosen the id that its caller chose
 	 * @return the id; without an account, the one chosen
 	 */
-	public static String kept(Optional<String> account, String chosen) {
+	public static String qualified(Optional<String> account, String chosen) {
 		Objects.requireNonNull(chosen, "chosen is null");
 		return account.map((name) -> escaped(name) + SEPARATOR).orElse("") + escaped(chosen);
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobLoading.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobLoading.java
@@ -14,7 +14,7 @@
 
 	private static final EventLog LOG = EventLog.of(JobLoading.class);
 
-	private final JobRunner.Parts parts;
+	private final JobRunner.Dependencies parts;
 
 	private final ProgressKeeper progress;
 
@@ -29,7 +29,7 @@
 	 * @param claims learns what was read
 	 * @param loaded runs when a job is ready
 	 */
-	JobLoading(JobRunner.Parts parts, ProgressKeeper progress, ListingClaims claims, Runnable loaded) {
+	JobLoading(JobRunner.Dependencies parts, ProgressKeeper progress, ListingClaims claims, Runnable loaded) {
 		this.parts = Objects.requireNonNull(parts, "parts is null");
 		this.progress = Objects.requireNonNull(progress, "progress is null");
 		this.claims = Objects.requireNonNull(claims, "claims is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobOwners.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobOwners.java
@@ -13,12 +13,12 @@
 	 * @param jobId the job
 	 * @return whether it does
 	 */
-	boolean own(String jobId);
+	boolean ownedHere(String jobId);
 
 	/**
 	 * Returns how many processes run jobs.
 	 * @return this one and those that it knows of
 	 */
-	int count();
+	int runnerCount();
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobReader.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobReader.java
@@ -32,7 +32,7 @@
 
 	private final JobStore store;
 
-	private final ListingNews news;
+	private final PublishedResultsView news;
 
 	private final Timers timers;
 
@@ -42,7 +42,7 @@
 
 	private long keptChars;
 
-	private JobReader(JobStore store, ListingNews news, Timers timers) {
+	private JobReader(JobStore store, PublishedResultsView news, Timers timers) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.news = Objects.requireNonNull(news, "news is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
@@ -55,7 +55,7 @@
 	 * @param timers runs tasks later, on the event loop
 	 * @return the reader
 	 */
-	public static JobReader of(JobStore store, ListingNews news, Timers timers) {
+	public static JobReader of(JobStore store, PublishedResultsView news, Timers timers) {
 		return new JobReader(store, news, timers);
 	}
 
@@ -63,7 +63,7 @@
 	 * Learns that there is news of listings. Callers that wait for a result which is
 	 * listed now get it at once, and not when their wait is over.
 	 */
-	public void newsCame() {
+	public void onResultsReported() {
 		List.copyOf(this.waiting).forEach(WaitingRead::look);
 	}
 
@@ -107,7 +107,7 @@
 		if (position < view.outcomes.size() || view.outcomes.size() >= view.itemCount) {
 			return CompletableFuture.completedFuture(true);
 		}
-		if (this.news.sure(view.jobId).filter((told) -> told.segmentsAtMost() <= view.segments).isPresent()) {
+		if (this.news.authoritative(view.jobId).filter((told) -> told.maxSegments() <= view.segments).isPresent()) {
 			return CompletableFuture.completedFuture(false);
 		}
 		int number = view.segments;
@@ -161,9 +161,9 @@
 		if (known != null) {
 			return CompletableFuture.completedFuture(Optional.of(known));
 		}
-		Optional<ResultListing> told = this.news.sure(jobId);
+		Optional<PublishedResults> told = this.news.authoritative(jobId);
 		if (told.isPresent()) {
-			return CompletableFuture.completedFuture(Optional.of(view(jobId, told.get().items())));
+			return CompletableFuture.completedFuture(Optional.of(view(jobId, told.get().itemCount())));
 		}
 		return this.store.readOlder(jobId).thenApply((found) -> {
 			if (found.isEmpty()) {
@@ -263,8 +263,8 @@
 		 * Reads on if news tells of more than was read.
 		 */
 		void look() {
-			boolean more = JobReader.this.news.sure(this.view.jobId)
-				.filter((told) -> told.segmentsAtMost() > this.view.segments)
+			boolean more = JobReader.this.news.authoritative(this.view.jobId)
+				.filter((told) -> told.maxSegments() > this.view.segments)
 				.isPresent();
 			if (!more || this.reading) {
 				return;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobRunner.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobRunner.java
@@ -47,7 +47,7 @@
 	/** How long an upstream that said it was full is avoided: half a usual request. */
 	private static final Duration AVOID_FULL = Duration.ofMillis(300);
 
-	private final Parts parts;
+	private final Dependencies parts;
 
 	private final Map<String, OwnedJob> jobs = new LinkedHashMap<>();
 
@@ -69,7 +69,7 @@
 
 	private boolean listed;
 
-	private JobRunner(Parts parts) {
+	private JobRunner(Dependencies parts) {
 		this.parts = parts;
 		this.placing = new ItemPlacing(parts, this.order, new Runs());
 		this.progress = new ProgressKeeper(parts.progress(), parts.ticker(), parts.loop());
@@ -83,7 +83,7 @@
 	 * @param parts what it uses
 	 * @return the runner
 	 */
-	public static JobRunner of(Parts parts) {
+	public static JobRunner of(Dependencies parts) {
 		return new JobRunner(Objects.requireNonNull(parts, "parts is null"));
 	}
 
@@ -98,7 +98,7 @@
 		if (!this.stopped) {
 			this.placing.leaveQueues(openRuns());
 			pump();
-			this.progress.round(readyJobs(), this.parts.owners().count());
+			this.progress.round(readyJobs(), this.parts.owners().runnerCount());
 			this.parts.timers().schedule(ROUND, this::round);
 		}
 	}
@@ -112,7 +112,8 @@
 	public void put(Job job, boolean justWritten) {
 		OwnedJob known = this.jobs.get(job.id());
 		if (known == null) {
-			boolean unread = justWritten && this.parts.settled().getAsBoolean() && this.parts.owners().own(job.id());
+			boolean unread = justWritten && this.parts.settled().getAsBoolean()
+					&& this.parts.owners().ownedHere(job.id());
 			this.jobs.put(job.id(), new OwnedJob(job, !unread));
 			LOG.info("job_known", "job", job.id(), "items", job.itemCount(), "ended", job.ended());
 		}
@@ -145,14 +146,14 @@
 	 * Tells whether results wait to be listed.
 	 * @return whether any do
 	 */
-	public boolean unlisted() {
+	public boolean hasUnpublishedResults() {
 		return this.jobs.values().stream().anyMatch((job) -> job.hasFinished() || job.writing());
 	}
 
 	/**
 	 * Learns that all jobs that the store has were put.
 	 */
-	public void listed() {
+	public void initialListingComplete() {
 		this.listed = true;
 	}
 
@@ -169,7 +170,7 @@
 		}
 		Map<Integer, Long> tokens = new HashMap<>();
 		for (OwnedJob job : this.jobs.values()) {
-			if (job.phase() != OwnedJob.Phase.DONE && this.parts.owners().own(job.job().id())) {
+			if (job.phase() != OwnedJob.Phase.DONE && this.parts.owners().ownedHere(job.job().id())) {
 				configuration.get()
 					.route(job.job().host(), job.job().path())
 					.filter((route) -> route.mostWaitingTokens() > 0)
@@ -185,7 +186,7 @@
 	 * @return the listings of the jobs that this process runs, and of those that it has
 	 * listed results of lately
 	 */
-	public List<ResultListing> listings() {
+	public List<PublishedResults> publishedResults() {
 		this.claims.look();
 		return this.jobs.values().stream().flatMap((job) -> this.claims.listing(job).stream()).toList();
 	}
@@ -194,7 +195,7 @@
 	 * Tells whether items wait for a slot.
 	 * @return whether some did when it was last looked
 	 */
-	public boolean wanting() {
+	public boolean hasWaitingItems() {
 		return this.wanting;
 	}
 
@@ -215,7 +216,7 @@
 	/**
 	 * Gives slots that online requests need back to them.
 	 */
-	public void giveWay() {
+	public void yieldSlots() {
 		this.placing.giveWay(this::openRuns);
 	}
 
@@ -236,7 +237,7 @@
 			LOG.info("job_done", "job", job.job().id(), "ended", job.job().ended(), "listed", job.complete());
 			return;
 		}
-		if (!this.parts.owners().own(job.job().id())) {
+		if (!this.parts.owners().ownedHere(job.job().id())) {
 			if (job.phase() == OwnedJob.Phase.READY) {
 				LOG.info("job_left", "job", job.job().id(), "open_items", job.openCount());
 				job.stopRuns();
@@ -358,7 +359,7 @@
 	 * @param processes the runs of processes that may own jobs, as far as this one hears
 	 * @param tellListings tells the peers what has changed of the listings
 	 */
-	public record Parts(JobStore store, ProgressStore progress, JobOwners owners, BooleanSupplier settled,
+	public record Dependencies(JobStore store, ProgressStore progress, JobOwners owners, BooleanSupplier settled,
 			Supplier<BatchTurns> turns, ConfigurationInForce configuration, UpstreamRegistry upstreams,
 			Placement placement, ConnectionPool connections, HeaderNames headers, Ticker ticker,
 			Supplier<Long> wallMillis, Timers timers, DoubleSupplier draw, Executor loop, GatewayMetrics metrics,
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ListingClaims.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ListingClaims.java
@@ -123,13 +123,13 @@
 	 * @param job the job
 	 * @return the listing, or empty if there is nothing to tell
 	 */
-	Optional<ResultListing> listing(OwnedJob job) {
+	Optional<PublishedResults> listing(OwnedJob job) {
 		String id = job.job().id();
 		boolean all = job.phase() == OwnedJob.Phase.READY && this.claims.contains(id);
 		if (!all && !this.lastWrites.containsKey(id)) {
 			return Optional.empty();
 		}
-		return Optional.of(new ResultListing(id, job.job().itemCount(), job.segmentsAtMost(), all));
+		return Optional.of(new PublishedResults(id, job.job().itemCount(), job.maxSegments(), all));
 	}
 
 	/**
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/OwnedJob.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/OwnedJob.java
@@ -86,7 +86,7 @@
 	 * Returns how many segments the store may have from this process.
 	 * @return those that it has for sure, and the one that is being written
 	 */
-	int segmentsAtMost() {
+	int maxSegments() {
 		return this.segments + (this.writing ? 1 : 0);
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ListingNews.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/PublishedResultsView.java
@@ -7,7 +7,7 @@
  * entry need not ask the store for results that are not there yet.
  */
 @FunctionalInterface
-public interface ListingNews {
+public interface PublishedResultsView {
 
 	/**
 	 * Returns what is told of a job.
@@ -16,6 +16,6 @@
 	 * shown to a caller a second ago; empty if that is not sure, and the store has to be
 	 * asked
 	 */
-	Optional<ResultListing> sure(String jobId);
+	Optional<PublishedResults> authoritative(String jobId);
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ResultLister.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ResultLister.java
@@ -15,7 +15,7 @@
 
 	private static final EventLog LOG = EventLog.of(ResultLister.class);
 
-	private final JobRunner.Parts parts;
+	private final JobRunner.Dependencies parts;
 
 	private final ListingClaims claims;
 
@@ -27,7 +27,7 @@
 	 * @param claims learns what is written
 	 * @param listed runs when results were listed
 	 */
-	ResultLister(JobRunner.Parts parts, ListingClaims claims, Runnable listed) {
+	ResultLister(JobRunner.Dependencies parts, ListingClaims claims, Runnable listed) {
 		this.parts = Objects.requireNonNull(parts, "parts is null");
 		this.claims = Objects.requireNonNull(claims, "claims is null");
 		this.listed = Objects.requireNonNull(listed, "listed is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobDesk.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobDesk.java
@@ -76,7 +76,7 @@
 	 */
 	void submit(String chosenId, Optional<String> account, String host, String path, Route route, long version,
 			byte[] body, JobReply reply) {
-		String jobId = JobIds.kept(account, chosenId);
+		String jobId = JobIds.qualified(account, chosenId);
 		List<JobItem> items;
 		try {
 			items = this.format.items(body);
@@ -116,7 +116,7 @@
 	 * @param reply takes the answer
 	 */
 	void handle(JobCall asked, Optional<String> account, Duration wait, JobReply reply) {
-		JobCall call = new JobCall(asked.action(), JobIds.kept(account, asked.jobId()), asked.position(),
+		JobCall call = new JobCall(asked.action(), JobIds.qualified(account, asked.jobId()), asked.position(),
 				asked.itemId());
 		switch (call.action()) {
 			case RESULTS -> results(call, wait, reply);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ListingReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ListingReports.java
@@ -9,8 +9,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-import org.ragworthook.gateway.job.ListingNews;
-import org.ragworthook.gateway.job.ResultListing;
+import org.ragworthook.gateway.job.PublishedResults;
+import org.ragworthook.gateway.job.PublishedResultsView;
 import org.ragworthook.wire.load.JobListing;
 import org.ragworthook.wire.load.LoadReport;
 
@@ -27,7 +27,7 @@
  * that second, knows of every segment that could have been shown so long ago. If one of
  * them is silent the entry asks the store. Used on the event loop.
  */
-public final class ListingReports implements ReportPart, ListingNews {
+public final class ListingReports implements ReportPart, PublishedResultsView {
 
 	/**
 	 * How old the newest report of a process may be. Quiet processes report each half
@@ -49,7 +49,7 @@
 
 	private final BooleanSupplier steady;
 
-	private Supplier<List<ResultListing>> own = List::of;
+	private Supplier<List<PublishedResults>> own = List::of;
 
 	private Runnable listener = () -> {
 	};
@@ -85,7 +85,7 @@
 	 * Sets what gives the listings of this process.
 	 * @param listings gives them
 	 */
-	public void own(Supplier<List<ResultListing>> listings) {
+	public void own(Supplier<List<PublishedResults>> listings) {
 		this.own = Objects.requireNonNull(listings, "listings is null");
 	}
 
@@ -100,16 +100,16 @@
 	@Override
 	public void write(LoadReport.Builder report) {
 		int chars = 0;
-		for (ResultListing listing : this.own.get()) {
+		for (PublishedResults listing : this.own.get()) {
 			chars += listing.jobId().length();
 			if (chars > MOST_CHARS) {
 				return;
 			}
 			report.addListings(JobListing.newBuilder()
 				.setJob(listing.jobId())
-				.setItems(listing.items())
-				.setSegments(listing.segmentsAtMost())
-				.setAll(listing.all()));
+				.setItems(listing.itemCount())
+				.setSegments(listing.maxSegments())
+				.setAll(listing.authoritative()));
 		}
 	}
 
@@ -123,20 +123,20 @@
 	}
 
 	@Override
-	public Optional<ResultListing> sure(String jobId) {
+	public Optional<PublishedResults> authoritative(String jobId) {
 		if (!this.steady.getAsBoolean()) {
 			return Optional.empty();
 		}
-		return this.fleet.allRunners(HEARD).flatMap((reports) -> sure(jobId, reports));
+		return this.fleet.allRunners(HEARD).flatMap((reports) -> authoritative(jobId, reports));
 	}
 
-	private Optional<ResultListing> sure(String jobId, List<LoadReport> reports) {
+	private Optional<PublishedResults> authoritative(String jobId, List<LoadReport> reports) {
 		int segments = this.mostTold.getOrDefault(jobId, 0);
 		int items = 0;
-		for (ResultListing listing : this.own.get()) {
+		for (PublishedResults listing : this.own.get()) {
 			if (listing.jobId().equals(jobId)) {
-				segments = Math.max(segments, listing.segmentsAtMost());
-				items = listing.all() ? listing.items() : items;
+				segments = Math.max(segments, listing.maxSegments());
+				items = listing.authoritative() ? listing.itemCount() : items;
 			}
 		}
 		for (LoadReport report : reports) {
@@ -146,7 +146,7 @@
 				}
 			}
 		}
-		return (items > 0) ? Optional.of(new ResultListing(jobId, items, segments, true)) : Optional.empty();
+		return (items > 0) ? Optional.of(new PublishedResults(jobId, items, segments, true)) : Optional.empty();
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/RendezvousOwners.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/RendezvousOwners.java
@@ -33,12 +33,12 @@
 	}
 
 	@Override
-	public boolean own(String jobId) {
+	public boolean ownedHere(String jobId) {
 		return RendezvousScore.first(this.runners.get(), jobId.hashCode()).filter(this.self::equals).isPresent();
 	}
 
 	@Override
-	public int count() {
+	public int runnerCount() {
 		return this.runners.get().size();
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -29,10 +29,10 @@
 import org.ragworthook.gateway.account.QuotaLedger;
 import org.ragworthook.gateway.dispatch.Dispatcher;
 import org.ragworthook.gateway.feed.Change;
+import org.ragworthook.gateway.feed.CoalescingDelay;
 import org.ragworthook.gateway.feed.Feed;
 import org.ragworthook.gateway.feed.FeedFollower;
 import org.ragworthook.gateway.feed.FeedListener;
-import org.ragworthook.gateway.feed.GatheringRule;
 import org.ragworthook.gateway.feed.StoreHealth;
 import org.ragworthook.gateway.feed.UpstreamFeedListener;
 import org.ragworthook.gateway.http.ConnectionPool;
@@ -100,7 +100,7 @@
 
 	private final UpstreamRegistry upstreams = UpstreamRegistry.empty();
 
-	private final StoreHealth health = StoreHealth.unknown(this.ticker);
+	private final StoreHealth health = StoreHealth.of(this.ticker);
 
 	private final GatewayMetrics metrics = GatewayMetrics.empty();
 
@@ -180,7 +180,7 @@
 				this.platform.headers().requestId());
 		showMetrics();
 		this.timers.schedule(STORE_CALLS_SHOWN, this::showStoreCalls);
-		this.peers.fleet().storeLost(() -> this.health.lostFor().compareTo(IsolationRule.STORE_LOST) >= 0);
+		this.peers.fleet().storeLost(() -> this.health.downFor().compareTo(IsolationRule.STORE_LOST) >= 0);
 		follow(this.platform.upstreams(), this.upstreamFeed, this::gathering);
 		follow(this.platform.configuration(), new ConfigurationListener(), AT_ONCE);
 		if (this.settings.runsJobs()) {
@@ -216,8 +216,8 @@
 	 * @return the pause
 	 */
 	private Duration gathering() {
-		return GatheringRule.within(this.settings.bounds().drainNotice())
-			.pause(this.peers.fleet().peerView().known() + 1);
+		return CoalescingDelay.forDrainNotice(this.settings.bounds().drainNotice())
+			.forProcesses(this.peers.fleet().peerView().known() + 1);
 	}
 
 	private <T> FeedFollower<T> follow(Feed<T> feed, FeedListener<T> listener, Supplier<Duration> gathering) {
@@ -235,7 +235,7 @@
 				this.peers.dispatch()::loadChanged, this.peers.loads()::flush);
 		CallerAccess access = access();
 		JobReader reader = JobReader.of(this.jobs, this.peers.listings(), this.timers);
-		this.peers.listings().onNews(reader::newsCame);
+		this.peers.listings().onNews(reader::onResultsReported);
 		Frontend front = OnlinePart.of(this.vertx, context, access, this.jobs, reader, this.platform.jobFormat(),
 				this.loop, this.health::up,
 				new JobBacklog(this.peers.loads(), this.peers.changedJobs(), this.platform::jobs));
@@ -252,7 +252,7 @@
 	private boolean shedsConnections() {
 		boolean keysLost = this.accessControl.lost();
 		return (keysLost || !this.health.up())
-				&& IsolationRule.shedsConnections(this.health.lostFor(), keysLost, this.peers.fleet().peerView());
+				&& IsolationRule.shedsConnections(this.health.downFor(), keysLost, this.peers.fleet().peerView());
 	}
 
 	private CallerAccess access() {
@@ -275,28 +275,28 @@
 	}
 
 	private boolean ready() {
-		return !this.leaving && this.configuration.present().isPresent() && this.upstreamFeed.listed()
+		return !this.leaving && this.configuration.present().isPresent() && this.upstreamFeed.hasListed()
 				&& !this.accessControl.lost()
-				&& !IsolationRule.isolated(this.health.lostFor(), this.peers.fleet().peerView());
+				&& !IsolationRule.isolated(this.health.downFor(), this.peers.fleet().peerView());
 	}
 
 	private void runJobs(Placement placement, ConnectionPool connections) {
 		ProgressStore progress = ProgressStore.of(this.platform.store(), this.writer, this.platform.progress(),
 				this.settings.instance());
 		JobOwners owners = RendezvousOwners.of(this.settings.instance(), this.peers.fleet()::jobRunners);
-		JobRunner jobRunner = JobRunner.of(new JobRunner.Parts(this.jobs, progress, owners, this.peers.fleet()::settled,
-				this.peers.fleet()::turns, this.configuration, this.upstreams, placement, connections,
-				this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
+		JobRunner jobRunner = JobRunner.of(new JobRunner.Dependencies(this.jobs, progress, owners,
+				this.peers.fleet()::settled, this.peers.fleet()::turns, this.configuration, this.upstreams, placement,
+				connections, this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
 				ThreadLocalRandom.current()::nextDouble, this.loop, this.metrics, this.settings.queuePatience(),
 				this.peers.pauses()::pauses, this.peers.fleet()::runnerRuns, this.peers.loads()::flush));
 		this.runner = Optional.of(jobRunner);
 		this.peers.dispatch()
 			.dispatcher(Dispatcher.of(this.upstreams, this.ticker, ThreadLocalRandom.current(), firstGrant(),
 					this.peers.dispatch()));
-		this.peers.loads().wantsSlots(jobRunner::wanting);
+		this.peers.loads().wantsSlots(jobRunner::hasWaitingItems);
 		this.peers.loads().backlog(jobRunner::backlog);
-		this.peers.listings().own(jobRunner::listings);
-		this.peers.loads().onReport(jobRunner::giveWay);
+		this.peers.listings().own(jobRunner::publishedResults);
+		this.peers.loads().onReport(jobRunner::yieldSlots);
 		followJobs(jobRunner, owners);
 		follow(this.platform.retirements(), new Retirement(this.settings.instance(), this.peers.loads(), jobRunner,
 				this.platform::retired, this.timers, this.loop), AT_ONCE);
@@ -305,10 +305,10 @@
 
 	private void followJobs(JobRunner jobRunner, JobOwners owners) {
 		FeedFollower<Job> follower = follow(this.platform.jobs(), new JobListener(jobRunner),
-				() -> GatheringRule.pauseForJobs(this.peers.fleet().heardRunners().size()));
+				() -> CoalescingDelay.forJobs(this.peers.fleet().heardRunners().size()));
 		this.peers.changedJobs().onChange((jobId) -> {
-			if (owners.own(jobId)) {
-				follower.hurry();
+			if (owners.ownedHere(jobId)) {
+				follower.pollNow();
 			}
 		});
 	}
@@ -377,7 +377,7 @@
 	private boolean idle() {
 		CompletableFuture<Boolean> idle = new CompletableFuture<>();
 		this.loop.execute(() -> idle.complete(this.frontend.map((front) -> front.open() == 0).orElse(true)
-				&& this.runner.map((present) -> !present.unlisted()).orElse(true)));
+				&& this.runner.map((present) -> !present.hasUnpublishedResults()).orElse(true)));
 		return idle.join();
 	}
 
@@ -420,7 +420,7 @@
 		@Override
 		public void listed(List<Change<Job>> all) {
 			all.forEach((change) -> change.value().ifPresent((job) -> this.runner.put(job, false)));
-			this.runner.listed();
+			this.runner.initialListingComplete();
 		}
 
 		@Override
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/Retirement.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/Retirement.java
@@ -72,7 +72,7 @@
 	}
 
 	private void report() {
-		if (this.runner.unlisted()) {
+		if (this.runner.hasUnpublishedResults()) {
 			this.timers.schedule(LOOK, this::report);
 			return;
 		}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/feed/FeedFollowerTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/feed/FeedFollowerTests.java
@@ -23,7 +23,7 @@
 
 	private final Collection collection = new Collection();
 
-	private static final GatheringRule RULE = GatheringRule.within(Duration.ofSeconds(2));
+	private static final CoalescingDelay RULE = CoalescingDelay.forDrainNotice(Duration.ofSeconds(2));
 
 	private final List<String> seen = new ArrayList<>();
 
@@ -44,7 +44,7 @@
 			this.collection.change("u" + i);
 			this.time.advance(Duration.ofMillis(50));
 		}
-		this.time.advance(RULE.longest());
+		this.time.advance(RULE.max());
 		assertThat(this.seen).hasSize(60);
 		assertThat(this.collection.calls - before).isAtMost(mostCalls);
 	}
@@ -69,7 +69,7 @@
 		follow(300);
 		this.collection.change("first");
 		this.collection.change("second");
-		this.time.advance(RULE.longest());
+		this.time.advance(RULE.max());
 		assertThat(this.seen).containsExactly("first", "second").inOrder();
 	}
 
@@ -82,13 +82,13 @@
 	@ParameterizedTest
 	@CsvSource({ "1, 31", "4, 31", "15, 13", "300, 13" })
 	void shouldLookForJobsSeldomInALargeFleet(int runners, int mostCalls) {
-		follow(() -> GatheringRule.pauseForJobs(runners));
+		follow(() -> CoalescingDelay.forJobs(runners));
 		int before = this.collection.calls;
 		for (int i = 0; i < 30; i++) {
 			this.collection.change("job" + i);
 			this.time.advance(Duration.ofMillis(600));
 		}
-		this.time.advance(GatheringRule.MOST_JOBS);
+		this.time.advance(CoalescingDelay.MOST_JOBS);
 		assertThat(this.seen).hasSize(30);
 		assertThat(this.collection.calls - before).isAtMost(mostCalls);
 	}
@@ -103,21 +103,21 @@
 		this.collection.change("first");
 		this.collection.change("second");
 		assertThat(this.seen).containsExactly("first");
-		follower.hurry();
+		follower.pollNow();
 		assertThat(this.seen).containsExactly("first", "second").inOrder();
-		follower.hurry();
-		this.time.advance(RULE.longest());
+		follower.pollNow();
+		this.time.advance(RULE.max());
 		this.collection.change("third");
 		assertThat(this.seen).containsExactly("first", "second", "third").inOrder();
 	}
 
 	private FeedFollower<String> follow(int processes) {
-		return follow(() -> RULE.pause(processes));
+		return follow(() -> RULE.forProcesses(processes));
 	}
 
 	private FeedFollower<String> follow(Supplier<Duration> gathering) {
 		return FeedFollower.start(this.collection, new Listener(), this.time, Runnable::run, WAIT,
-				StoreHealth.unknown(this.time), gathering);
+				StoreHealth.of(this.time), gathering);
 	}
 
 	private final class Listener implements FeedListener<String> {
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/feed/UpstreamFeedListenerTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/feed/UpstreamFeedListenerTests.java
@@ -22,7 +22,7 @@
 
 	private final UpstreamRegistry registry = UpstreamRegistry.empty();
 
-	private final StoreHealth health = StoreHealth.unknown(this.time);
+	private final StoreHealth health = StoreHealth.of(this.time);
 
 	private final UpstreamFeedListener listener = UpstreamFeedListener.of(this.registry, this.health, this.time);
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/JobReaderTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/JobReaderTests.java
@@ -34,7 +34,7 @@
 
 	private final JobStore jobs = JobStore.of(this.store, ConditionalWriter.of(this.store, Stamps.of("t")));
 
-	private final AtomicReference<Optional<ResultListing>> told = new AtomicReference<>(Optional.empty());
+	private final AtomicReference<Optional<PublishedResults>> told = new AtomicReference<>(Optional.empty());
 
 	private final JobReader reader = JobReader.of(this.jobs, (jobId) -> this.told.get(), this.time);
 
@@ -46,7 +46,7 @@
 	}
 
 	private void told(int segments) {
-		this.told.set(Optional.of(new ResultListing("job", 2, segments, true)));
+		this.told.set(Optional.of(new PublishedResults("job", 2, segments, true)));
 	}
 
 	private static List<ItemOutcome> segment(String item) {
@@ -90,10 +90,10 @@
 		this.time.advance(Duration.ofMillis(300));
 		assertThat(answer.isDone()).isFalse();
 		this.jobs.append("job", 0, segment("a")).join();
-		this.reader.newsCame();
+		this.reader.onResultsReported();
 		assertThat(answer.isDone()).isFalse();
 		told(1);
-		this.reader.newsCame();
+		this.reader.onResultsReported();
 		assertThat(answer.join().orElseThrow().outcomes()).isEqualTo(segment("a"));
 		this.time.advance(WAIT);
 	}
@@ -107,7 +107,7 @@
 		told(0);
 		CompletableFuture<Optional<JobReader.Page>> answer = this.reader.results("job", 0, WAIT);
 		told(1);
-		this.reader.newsCame();
+		this.reader.onResultsReported();
 		assertThat(answer.isDone()).isFalse();
 		this.time.advance(WAIT);
 		assertThat(answer.join().orElseThrow().outcomes()).isEmpty();
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/ListingClaimsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/ListingClaimsTests.java
@@ -45,13 +45,13 @@
 		this.claims.accepted("job");
 	}
 
-	private Optional<ResultListing> told() {
+	private Optional<PublishedResults> told() {
 		this.claims.look();
 		return this.claims.listing(this.job);
 	}
 
-	private static Optional<ResultListing> listing(int segments, boolean all) {
-		return Optional.of(new ResultListing("job", 1, segments, all));
+	private static Optional<PublishedResults> listing(int segments, boolean all) {
+		return Optional.of(new PublishedResults("job", 1, segments, all));
 	}
 
 	@Test
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/PlayedOwner.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/SimulatedOwner.java
@@ -13,7 +13,7 @@
  * What one process that runs jobs knows of the listing of one job, for plays without a
  * network and a store.
  */
-public final class PlayedOwner {
+public final class SimulatedOwner {
 
 	private final ListingClaims claims;
 
@@ -26,7 +26,7 @@
 	 * @param pauses how often the process was paused
 	 * @param processes what it hears
 	 */
-	public PlayedOwner(String jobId, Ticker ticker, IntSupplier pauses, Supplier<Set<String>> processes) {
+	public SimulatedOwner(String jobId, Ticker ticker, IntSupplier pauses, Supplier<Set<String>> processes) {
 		this.claims = new ListingClaims(ticker, pauses, processes);
 		JobItem item = new JobItem("i", "/p", Map.of(), "", 1);
 		this.job = new OwnedJob(new Job(jobId, Optional.empty(), "h", "/p", 0, 1, 1_000, 0, 1, false, List.of(item)),
@@ -37,7 +37,7 @@
 	 * Returns what the process tells.
 	 * @return the listings
 	 */
-	public List<ResultListing> listings() {
+	public List<PublishedResults> publishedResults() {
 		this.claims.look();
 		return this.claims.listing(this.job).stream().toList();
 	}
@@ -58,7 +58,7 @@
 	 * Has read all segments that there are.
 	 * @param segments their number
 	 */
-	public void read(int segments) {
+	public void onSegmentsRead(int segments) {
 		while (this.job.segments() < segments) {
 			this.job.listed(this.job.segments(), List.of());
 		}
@@ -69,7 +69,7 @@
 	/**
 	 * Begins to write the next segment.
 	 */
-	public void writes() {
+	public void beginWrite() {
 		this.job.writing(true);
 		this.claims.writing(this.job.job().id());
 	}
@@ -78,7 +78,7 @@
 	 * Learns how a write ended.
 	 * @param written whether it is known to have met no other
 	 */
-	public void ended(boolean written) {
+	public void endWrite(boolean written) {
 		this.job.writing(false);
 		if (written) {
 			this.job.listed(this.job.segments(), List.of());
@@ -86,14 +86,14 @@
 		}
 		else {
 			this.claims.forget(this.job.job().id());
-			leave();
+			release();
 		}
 	}
 
 	/**
 	 * Leaves the job to another process.
 	 */
-	public void leave() {
+	public void release() {
 		this.job.phase(OwnedJob.Phase.KNOWN);
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ListingPlay.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ListingPlay.java
@@ -10,8 +10,8 @@
 
 import org.ragworthook.core.fleet.Address;
 import org.ragworthook.core.time.Ticker;
-import org.ragworthook.gateway.job.PlayedOwner;
-import org.ragworthook.gateway.job.ResultListing;
+import org.ragworthook.gateway.job.PublishedResults;
+import org.ragworthook.gateway.job.SimulatedOwner;
 import org.ragworthook.wire.load.HeardRunner;
 import org.ragworthook.wire.load.LoadReport;
 
@@ -177,7 +177,7 @@
 
 		private ListingReports listings;
 
-		private PlayedOwner owned;
+		private SimulatedOwner owned;
 
 		Process(int place) {
 			this.place = place;
@@ -192,9 +192,9 @@
 			this.peers = new PeerTable(ticker);
 			this.fleet = new FleetView(ticker, this.peers, self);
 			this.listings = new ListingReports(this.fleet, this::steady);
-			this.owned = new PlayedOwner(JOB, ticker, () -> this.pauses, this.fleet::runnerRuns);
+			this.owned = new SimulatedOwner(JOB, ticker, () -> this.pauses, this.fleet::runnerRuns);
 			if (this.owner) {
-				this.listings.own(this.owned::listings);
+				this.listings.own(this.owned::publishedResults);
 			}
 			for (int other = 0; other < OWNERS + ENTRIES; other++) {
 				if (other != this.place) {
@@ -307,16 +307,16 @@
 		}
 
 		private void own() {
-			boolean mine = RendezvousOwners.of(name(), this.fleet::jobRunners).own(JOB);
+			boolean mine = RendezvousOwners.of(name(), this.fleet::jobRunners).ownedHere(JOB);
 			if (!mine || !this.peers.settled()) {
-				this.owned.leave();
+				this.owned.release();
 				return;
 			}
 			if (this.owned.writing()) {
 				return;
 			}
 			if (!this.owned.ready()) {
-				this.owned.read(ListingPlay.this.storedSegments);
+				this.owned.onSegmentsRead(ListingPlay.this.storedSegments);
 			}
 			else if (happens(ListingPlay.this.writes)) {
 				write();
@@ -325,9 +325,9 @@
 
 		private void write() {
 			ListingPlay play = ListingPlay.this;
-			PlayedOwner writer = this.owned;
+			SimulatedOwner writer = this.owned;
 			int segment = writer.segments();
-			writer.writes();
+			writer.beginWrite();
 			boolean answerLost = play.random.nextDouble() < play.troubles.lostAnswers;
 			long taken = answerLost ? between(2, 6_000) : between(2, 20);
 			boolean[] written = new boolean[1];
@@ -337,7 +337,7 @@
 					play.storedSegments++;
 				}
 			});
-			after(answerLost ? 1_800 : taken + 5, () -> whenUp(() -> writer.ended(!answerLost && written[0])));
+			after(answerLost ? 1_800 : taken + 5, () -> whenUp(() -> writer.endWrite(!answerLost && written[0])));
 		}
 
 		private void whenUp(Runnable task) {
@@ -353,7 +353,7 @@
 		private void read() {
 			ListingPlay play = ListingPlay.this;
 			play.answered++;
-			Optional<ResultListing> sure = this.listings.sure(JOB);
+			Optional<PublishedResults> sure = this.listings.authoritative(JOB);
 			if (sure.isEmpty()) {
 				while (play.shownMillis.size() < play.storedSegments) {
 					play.shownMillis.add(play.nowMillis);
@@ -361,7 +361,7 @@
 				return;
 			}
 			play.answeredByNews++;
-			int told = sure.get().segmentsAtMost();
+			int told = sure.get().maxSegments();
 			if (told < play.shownMillis.size() && play.nowMillis - play.shownMillis.get(told) > SETTLE.toMillis()) {
 				play.denied = Optional.of(name() + " denies segment " + told + " at " + play.nowMillis
 						+ " ms, shown at " + play.shownMillis.get(told) + " ms");
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/RendezvousOwnersTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/RendezvousOwnersTests.java
@@ -17,7 +17,7 @@
 	private static List<String> owners(String job, List<String> runners) {
 		List<String> owners = new ArrayList<>();
 		for (String runner : runners) {
-			if (RendezvousOwners.of(runner, () -> runners).own(job)) {
+			if (RendezvousOwners.of(runner, () -> runners).ownedHere(job)) {
 				owners.add(runner);
 			}
 		}
@@ -56,7 +56,7 @@
 
 	@Test
 	void shouldOwnNothingWhileNobodyRunsJobs() {
-		assertThat(RendezvousOwners.of("a", List::of).own("job")).isFalse();
+		assertThat(RendezvousOwners.of("a", List::of).ownedHere("job")).isFalse();
 	}
 
 }
