--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
@@ -112,7 +112,7 @@
 	@Override
 	public Optional<String> dispatcher(String service, Predicate<String> usable) {
 		return RendezvousScore.first(this.exchange.fleet()
-			.heardRunners()
+			.liveRunners()
 			.stream()
 			.filter((name) -> !name.equals(this.self) && usable.test(name))
 			.toList(), service.hashCode());
@@ -157,7 +157,7 @@
 	private void flush() {
 		Map<String, LoadReport.Builder> all = Map.copyOf(this.outbox);
 		this.outbox.clear();
-		all.forEach(this.exchange::tell);
+		all.forEach(this.exchange::sendTo);
 	}
 
 	@Override
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemPlacing.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemPlacing.java
@@ -87,7 +87,7 @@
 	}
 
 	private void giveWay(TrackedUpstream upstream, int count, List<ItemRun> runs) {
-		this.parts.metrics().yielded(count);
+		this.parts.metrics().itemsPreempted(count);
 		upstream.yielded(this.parts.ticker().nanos());
 		LOG.info("batch_yields", "upstream", upstream, "items", count, "online", upstream.onlineLoad(), "batch",
 				upstream.batchLoad());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/metrics/GatewayMetrics.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/metrics/GatewayMetrics.java
@@ -76,7 +76,7 @@
 	 * Counts a request that was refused before it was placed.
 	 * @param reason why
 	 */
-	public void refused(String reason) {
+	public void requestRefused(String reason) {
 		count("ragworthook.gateway.refusals", "reason", reason, 1);
 	}
 
@@ -100,7 +100,7 @@
 	 * Counts items that gave their slots to online requests.
 	 * @param items how many
 	 */
-	public void yielded(int items) {
+	public void itemsPreempted(int items) {
 		count("ragworthook.gateway.items.cut", "reason", "yielded", items);
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
@@ -129,7 +129,7 @@
 				account.map(ClientAccount::name).orElse("-"), "left_and_share",
 				account.map(this.quotas::standing).orElse("-"), "keys_age_ms",
 				this.control.age().map(Duration::toMillis).orElse(-1L));
-		this.metrics.refused(reason);
+		this.metrics.requestRefused(reason);
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
@@ -117,7 +117,7 @@
 
 	private void lookAgain(Submission submission, JobQuota.Reservation reservation, WaitingTokens before) {
 		WaitingTokens now = this.backlog.reported(submission.route, submission.job.account());
-		WaitingTokens others = now.known() ? now : new WaitingTokens(false, Math.max(now.tokens(), before.tokens()));
+		WaitingTokens others = now.complete() ? now : new WaitingTokens(false, Math.max(now.tokens(), before.tokens()));
 		if (this.quota.holds(submission.route, submission.job.account(), others)) {
 			create(submission.job, submission.deadline, submission.reply, false);
 			return;
@@ -159,7 +159,7 @@
 				return;
 			}
 			LOG.info(found.isPresent() ? "job_accepted_before" : "job_over_limit", "job", job.id(), "tokens",
-					job.tokens(), "waiting", waiting.tokens(), "all_known", waiting.known(), "limit",
+					job.tokens(), "waiting", waiting.tokens(), "all_known", waiting.complete(), "limit",
 					submission.route.mostWaitingTokens());
 			if (found.isPresent()) {
 				submission.reply.status(202, "", Optional.empty());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobQuota.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobQuota.java
@@ -65,7 +65,7 @@
 		if (waiting + tokens > route.mostWaitingTokens()) {
 			return Verdict.TOO_MUCH;
 		}
-		if (!others.known()) {
+		if (!others.complete()) {
 			return Verdict.UNSURE;
 		}
 		return (waiting + tokens > route.mostWaitingTokens() * NEAR) ? Verdict.NEAR_LIMIT : Verdict.FITS;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ChangedJobs.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ChangedJobs.java
@@ -79,7 +79,7 @@
 	}
 
 	@Override
-	public boolean news() {
+	public boolean hasChanges() {
 		long old = this.ticker.nanos() - TOLD.toNanos();
 		this.changed.values().removeIf((since) -> since - old < 0);
 		return !this.changed.isEmpty();
@@ -87,7 +87,7 @@
 
 	@Override
 	public void write(LoadReport.Builder report) {
-		if (news()) {
+		if (hasChanges()) {
 			this.changed.keySet().stream().limit(MOST).forEach(report::addChangedJobs);
 		}
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
@@ -25,7 +25,7 @@
 
 	private final PeerTable peers;
 
-	private final PeerSettings self;
+	private final PeerIdentity self;
 
 	private BooleanSupplier storeLost = () -> false;
 
@@ -39,7 +39,7 @@
 
 	private final Kept<Double> entriesHeard;
 
-	FleetView(Ticker ticker, PeerTable peers, PeerSettings self) {
+	FleetView(Ticker ticker, PeerTable peers, PeerIdentity self) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.peers = Objects.requireNonNull(peers, "peers is null");
 		this.self = Objects.requireNonNull(self, "self is null");
@@ -123,7 +123,7 @@
 	 * they reach the store or not, this one included if it does.
 	 * @return their names
 	 */
-	public List<String> heardRunners() {
+	public List<String> liveRunners() {
 		Stream<String> heard = this.peers.fresh()
 			.stream()
 			.filter((report) -> report.getRunsJobs() && !report.getLeaving())
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LeaseReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LeaseReports.java
@@ -44,7 +44,7 @@
 
 	private final ConfigurationLease lease;
 
-	private final PeerSettings self;
+	private final PeerIdentity self;
 
 	private final Ticker ticker;
 
@@ -54,7 +54,7 @@
 
 	private Optional<Long> checkedNanos = Optional.empty();
 
-	LeaseReports(ConfigurationLease lease, PeerSettings self, Ticker ticker, LongSupplier version, Runnable flush) {
+	LeaseReports(ConfigurationLease lease, PeerIdentity self, Ticker ticker, LongSupplier version, Runnable flush) {
 		this.lease = Objects.requireNonNull(lease, "lease is null");
 		this.self = Objects.requireNonNull(self, "self is null");
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
@@ -74,7 +74,7 @@
 	 * @param ticker the monotonic clock
 	 * @param version gives the version of the configuration in force
 	 */
-	public static void on(LoadExchange loads, ConfigurationLease lease, PeerSettings self, Ticker ticker,
+	public static void on(LoadExchange loads, ConfigurationLease lease, PeerIdentity self, Ticker ticker,
 			LongSupplier version) {
 		loads.add(new LeaseReports(lease, self, ticker, version, loads::flush));
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
@@ -55,7 +55,7 @@
 
 	private final UpstreamRegistry registry;
 
-	private final PeerSettings self;
+	private final PeerIdentity self;
 
 	private final PeerTable peers;
 
@@ -86,7 +86,7 @@
 	private final List<ReportPart> parts = new CopyOnWriteArrayList<>();
 
 	private LoadExchange(EventLoop loop, Ticker ticker, UpstreamRegistry registry, SuspectRequests suspects,
-			PeerSettings self) {
+			PeerIdentity self) {
 		this.suspects = Objects.requireNonNull(suspects, "suspects is null");
 		this.loop = Objects.requireNonNull(loop, "loop is null");
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
@@ -107,7 +107,7 @@
 	 * @return the exchange
 	 */
 	public static LoadExchange start(EventLoop loop, Ticker ticker, UpstreamRegistry registry, SuspectRequests suspects,
-			PeerSettings self) {
+			PeerIdentity self) {
 		LoadExchange exchange = new LoadExchange(loop, ticker, registry, suspects, self);
 		exchange.channel = ReportChannel.open(loop, self.address(), exchange::take);
 		loop.scheduleAtFixedRate(exchange::round, ROUND.toMillis(), ROUND.toMillis(), TimeUnit.MILLISECONDS);
@@ -135,7 +135,7 @@
 	 * @param instance the peer's name
 	 * @param report what it is told beside what all are told
 	 */
-	public void tell(String instance, LoadReport.Builder report) {
+	public void sendTo(String instance, LoadReport.Builder report) {
 		this.peers.heard(instance).ifPresent((peer) -> {
 			this.sequence++;
 			this.channel.write(report(report, loads()).toByteArray(), peer.address());
@@ -230,7 +230,7 @@
 	private void round() {
 		List<UpstreamLoad> now = loads();
 		boolean same = now.equals(this.lastSent) && this.lastWanting == this.wantsSlots.getAsBoolean()
-				&& !this.backlogs.changed() && this.parts.stream().noneMatch(ReportPart::news);
+				&& !this.backlogs.changed() && this.parts.stream().noneMatch(ReportPart::hasChanges);
 		if (same && ++this.quietRounds < QUIET_ROUNDS) {
 			return;
 		}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerDirectory.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerDirectory.java
@@ -30,16 +30,16 @@
 
 	private final ConditionalWriter writer;
 
-	private final Listing listing;
+	private final AddressLister listing;
 
 	private final LoadExchange exchange;
 
-	private final PeerSettings self;
+	private final PeerIdentity self;
 
 	private final Timers timers;
 
-	private PeerDirectory(RecordStore store, ConditionalWriter writer, Listing listing, LoadExchange exchange,
-			PeerSettings self, Timers timers) {
+	private PeerDirectory(RecordStore store, ConditionalWriter writer, AddressLister listing, LoadExchange exchange,
+			PeerIdentity self, Timers timers) {
 		this.store = store;
 		this.writer = writer;
 		this.listing = listing;
@@ -57,8 +57,8 @@
 	 * @param self this process
 	 * @param timers runs tasks later
 	 */
-	public static void join(RecordStore store, ConditionalWriter writer, Listing listing, LoadExchange exchange,
-			PeerSettings self, Timers timers) {
+	public static void join(RecordStore store, ConditionalWriter writer, AddressLister listing, LoadExchange exchange,
+			PeerIdentity self, Timers timers) {
 		new PeerDirectory(Objects.requireNonNull(store, "store is null"),
 				Objects.requireNonNull(writer, "writer is null"), Objects.requireNonNull(listing, "listing is null"),
 				Objects.requireNonNull(exchange, "exchange is null"), Objects.requireNonNull(self, "self is null"),
@@ -110,7 +110,7 @@
 	 * Lists the addresses of all processes.
 	 */
 	@FunctionalInterface
-	public interface Listing {
+	public interface AddressLister {
 
 		/**
 		 * Lists.
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerSettings.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerIdentity.java
@@ -12,12 +12,12 @@
  * @param address where it takes reports
  * @param runsJobs whether it runs items of batch jobs
  */
-public record PeerSettings(String instance, long startedMillis, Address address, boolean runsJobs) {
+public record PeerIdentity(String instance, long startedMillis, Address address, boolean runsJobs) {
 
 	/**
 	 * Checks that all parts are there.
 	 */
-	public PeerSettings {
+	public PeerIdentity {
 		Objects.requireNonNull(instance, "instance is null");
 		Objects.requireNonNull(address, "address is null");
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/QuotaReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/QuotaReports.java
@@ -32,7 +32,7 @@
 	}
 
 	@Override
-	public boolean news() {
+	public boolean hasChanges() {
 		return !this.ledger.recent().isEmpty();
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportPart.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportPart.java
@@ -11,7 +11,7 @@
 	 * Tells whether the next round is to send a report though the loads are as before.
 	 * @return whether there is news
 	 */
-	default boolean news() {
+	default boolean hasChanges() {
 		return false;
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -50,7 +50,7 @@
 import org.ragworthook.gateway.peer.LeaseReports;
 import org.ragworthook.gateway.peer.LoadExchange;
 import org.ragworthook.gateway.peer.PeerDirectory;
-import org.ragworthook.gateway.peer.PeerSettings;
+import org.ragworthook.gateway.peer.PeerIdentity;
 import org.ragworthook.gateway.peer.QuotaReports;
 import org.ragworthook.gateway.peer.RendezvousOwners;
 import org.ragworthook.gateway.route.Configuration;
@@ -116,7 +116,7 @@
 
 	private final PeerLinks peers;
 
-	private final PeerSettings self;
+	private final PeerIdentity self;
 
 	private final long startedMillis = System.currentTimeMillis();
 
@@ -134,7 +134,7 @@
 
 	private volatile boolean leaving;
 
-	private GatewayProcess(GatewaySettings settings, Function<Runtime, Platform> adapter) {
+	private GatewayProcess(GatewaySettings settings, Function<PlatformContext, Platform> adapter) {
 		this.settings = settings;
 		this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1)
 			.setWorkerPoolSize(1)
@@ -145,18 +145,18 @@
 		this.loop = ((ContextInternal) this.vertx.getOrCreateContext()).nettyEventLoop();
 		this.timers = new LoopTimers(this.loop);
 		this.listening = new Listening(this.vertx, this.timers, () -> this.leaving);
-		this.platform = adapter.apply(new Runtime(this.loop, this.ticker, this.timers, this.metrics));
+		this.platform = adapter.apply(new PlatformContext(this.loop, this.ticker, this.timers, this.metrics));
 		this.writer = ConditionalWriter.of(this.platform.store(), Stamps
 			.of(settings.instance() + "-" + this.startedMillis + "-" + ThreadLocalRandom.current().nextInt()));
 		this.jobs = JobStore.of(this.platform.store(), this.writer);
-		this.self = new PeerSettings(settings.instance(), this.startedMillis, settings.peers(), settings.runsJobs());
+		this.self = new PeerIdentity(settings.instance(), this.startedMillis, settings.peers(), settings.runsJobs());
 		this.peers = PeerLinks.start(this.self, settings.failureDomain(), this.upstreams, this.suspects, this.loop,
 				this.ticker, this.timers);
-		this.lease = settings.bounds().revocation().map(this::lease);
+		this.lease = settings.bounds().maxRevocationDelay().map(this::lease);
 		this.accessControl = AccessControl.of(this::accounts, this.lease);
 		this.upstreamFeed = UpstreamFeedListener.of(this.upstreams, this.health, this.timers);
-		PeerDirectory.join(this.platform.store(), this.writer, this.platform.peers(), this.peers.loads(), this.self,
-				this.timers);
+		PeerDirectory.join(this.platform.store(), this.writer, this.platform.peerAddresses(), this.peers.loads(),
+				this.self, this.timers);
 	}
 
 	/**
@@ -165,7 +165,7 @@
 	 * @param adapter makes the platform
 	 * @return the process
 	 */
-	public static GatewayProcess start(GatewaySettings settings, Function<Runtime, Platform> adapter) {
+	public static GatewayProcess start(GatewaySettings settings, Function<PlatformContext, Platform> adapter) {
 		GatewayProcess process = new GatewayProcess(Objects.requireNonNull(settings, "settings is null"),
 				Objects.requireNonNull(adapter, "adapter is null"));
 		process.loop.execute(process::begin);
@@ -216,7 +216,7 @@
 	 * @return the pause
 	 */
 	private Duration gathering() {
-		return GatheringRule.within(this.settings.bounds().drainNotice())
+		return GatheringRule.within(this.settings.bounds().drainDeadline())
 			.pause(this.peers.fleet().peerView().known() + 1);
 	}
 
@@ -287,7 +287,7 @@
 		JobRunner jobRunner = JobRunner.of(new JobRunner.Parts(this.jobs, progress, owners, this.peers.fleet()::settled,
 				this.peers.fleet()::turns, this.configuration, this.upstreams, placement, connections,
 				this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
-				ThreadLocalRandom.current()::nextDouble, this.loop, this.metrics, this.settings.queuePatience(),
+				ThreadLocalRandom.current()::nextDouble, this.loop, this.metrics, this.settings.queueTimeout(),
 				this.peers.pauses()::pauses, this.peers.fleet()::runnerRuns, this.peers.loads()::flush));
 		this.runner = Optional.of(jobRunner);
 		this.peers.dispatch()
@@ -299,13 +299,13 @@
 		this.peers.loads().onReport(jobRunner::giveWay);
 		followJobs(jobRunner, owners);
 		follow(this.platform.retirements(), new Retirement(this.settings.instance(), this.peers.loads(), jobRunner,
-				this.platform::retired, this.timers, this.loop), AT_ONCE);
+				this.platform::reportRetired, this.timers, this.loop), AT_ONCE);
 		jobRunner.start();
 	}
 
 	private void followJobs(JobRunner jobRunner, JobOwners owners) {
 		FeedFollower<Job> follower = follow(this.platform.jobs(), new JobListener(jobRunner),
-				() -> GatheringRule.pauseForJobs(this.peers.fleet().heardRunners().size()));
+				() -> GatheringRule.pauseForJobs(this.peers.fleet().liveRunners().size()));
 		this.peers.changedJobs().onChange((jobId) -> {
 			if (owners.own(jobId)) {
 				follower.hurry();
@@ -398,7 +398,7 @@
 	 * @param timers runs tasks later, on the event loop
 	 * @param metrics counts calls of the store
 	 */
-	public record Runtime(EventLoop loop, Ticker ticker, Timers timers, GatewayMetrics metrics) {
+	public record PlatformContext(EventLoop loop, Ticker ticker, Timers timers, GatewayMetrics metrics) {
 	}
 
 	private final class ConfigurationListener implements FeedListener<Configuration> {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewaySettings.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewaySettings.java
@@ -17,16 +17,16 @@
  * @param metrics where it shows its metrics
  * @param runsJobs whether it runs items of batch jobs
  * @param grace how long it has to stop after it is told to
- * @param queuePatience how long a batch item may be without an answer at an engine that
- * is thought to have a slot free
+ * @param queueTimeout how long a batch item may be without an answer at an engine that is
+ * thought to have a slot free
  * @param bounds how soon changes have to hold
  */
 public record GatewaySettings(String instance, String failureDomain, Optional<Address> front,
 		Optional<Address> readiness, Address peers, Address metrics, boolean runsJobs, Duration grace,
-		Duration queuePatience, PlatformBounds bounds) {
+		Duration queueTimeout, PlatformBounds bounds) {
 
 	/** Five times the usual 30 ms until the first event. */
-	public static final Duration QUEUE_PATIENCE = Duration.ofMillis(150);
+	public static final Duration DEFAULT_QUEUE_TIMEOUT = Duration.ofMillis(150);
 
 	/**
 	 * Checks that all parts are there.
@@ -39,7 +39,7 @@
 		Objects.requireNonNull(peers, "peers is null");
 		Objects.requireNonNull(metrics, "metrics is null");
 		Objects.requireNonNull(grace, "grace is null");
-		Objects.requireNonNull(queuePatience, "queuePatience is null");
+		Objects.requireNonNull(queueTimeout, "queueTimeout is null");
 		Objects.requireNonNull(bounds, "bounds is null");
 	}
 
@@ -50,7 +50,7 @@
 	 */
 	public GatewaySettings withGrace(Duration other) {
 		return new GatewaySettings(this.instance, this.failureDomain, this.front, this.readiness, this.peers,
-				this.metrics, this.runsJobs, other, this.queuePatience, this.bounds);
+				this.metrics, this.runsJobs, other, this.queueTimeout, this.bounds);
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerLinks.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerLinks.java
@@ -11,7 +11,7 @@
 import org.ragworthook.gateway.peer.FleetView;
 import org.ragworthook.gateway.peer.ListingReports;
 import org.ragworthook.gateway.peer.LoadExchange;
-import org.ragworthook.gateway.peer.PeerSettings;
+import org.ragworthook.gateway.peer.PeerIdentity;
 import org.ragworthook.gateway.suspect.SuspectRequests;
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
@@ -48,7 +48,7 @@
 	 * @param timers runs tasks later, on the event loop
 	 * @return the links
 	 */
-	static PeerLinks start(PeerSettings self, String failureDomain, UpstreamRegistry upstreams,
+	static PeerLinks start(PeerIdentity self, String failureDomain, UpstreamRegistry upstreams,
 			SuspectRequests suspects, EventLoop loop, Ticker ticker, Timers timers) {
 		LoadExchange loads = LoadExchange.start(loop, ticker, upstreams, suspects, self);
 		DispatchReports dispatch = DispatchReports.on(loads, loop, ticker, self.instance(), failureDomain);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/Platform.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/Platform.java
@@ -78,12 +78,12 @@
 	 * @param instance its name
 	 * @return completes once the platform has the report
 	 */
-	CompletableFuture<Void> retired(String instance);
+	CompletableFuture<Void> reportRetired(String instance);
 
 	/**
 	 * Returns the addresses at which processes take reports.
 	 * @return the listing
 	 */
-	PeerDirectory.Listing peers();
+	PeerDirectory.AddressLister peerAddresses();
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PlatformBounds.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PlatformBounds.java
@@ -8,14 +8,14 @@
  * How soon changes at the platform have to hold in a process, and how long the platform
  * remembers them.
  *
- * @param drainNotice how soon after an upstream says that it leaves nothing may be sent
+ * @param drainDeadline how soon after an upstream says that it leaves nothing may be sent
  * to it any longer
- * @param history how long the platform can tell of a change; a watch that waits longer is
- * told to list anew
- * @param revocation how long after its revocation a key may still be accepted by a
- * process, cut off or not; empty for no bound
+ * @param historyRetention how long the platform can tell of a change; a watch that waits
+ * longer is told to list anew
+ * @param maxRevocationDelay how long after its revocation a key may still be accepted by
+ * a process, cut off or not; empty for no bound
  */
-public record PlatformBounds(Duration drainNotice, Duration history, Optional<Duration> revocation) {
+public record PlatformBounds(Duration drainDeadline, Duration historyRetention, Optional<Duration> maxRevocationDelay) {
 
 	/** What holds where the platform states nothing. */
 	public static final PlatformBounds DEFAULT = new PlatformBounds(Duration.ofSeconds(2), Duration.ofSeconds(20),
@@ -29,9 +29,9 @@
 	 * Checks the parts.
 	 */
 	public PlatformBounds {
-		Objects.requireNonNull(drainNotice, "drainNotice is null");
-		Objects.requireNonNull(history, "history is null");
-		Objects.requireNonNull(revocation, "revocation is null");
+		Objects.requireNonNull(drainDeadline, "drainDeadline is null");
+		Objects.requireNonNull(historyRetention, "historyRetention is null");
+		Objects.requireNonNull(maxRevocationDelay, "maxRevocationDelay is null");
 	}
 
 	/**
@@ -39,7 +39,7 @@
 	 * @return less than the platform remembers, so that a quiet watch can go on
 	 */
 	Duration watch() {
-		Duration remembered = Duration.ofNanos((long) (this.history.toNanos() * PART_OF_HISTORY));
+		Duration remembered = Duration.ofNanos((long) (this.historyRetention.toNanos() * PART_OF_HISTORY));
 		return (remembered.compareTo(LONGEST_WATCH) < 0) ? remembered : LONGEST_WATCH;
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchReportsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchReportsTests.java
@@ -16,7 +16,7 @@
 import org.ragworthook.core.time.Ticker;
 import org.ragworthook.gateway.peer.LoadExchange;
 import org.ragworthook.gateway.peer.Loopback;
-import org.ragworthook.gateway.peer.PeerSettings;
+import org.ragworthook.gateway.peer.PeerIdentity;
 import org.ragworthook.gateway.suspect.SuspectRequests;
 import org.ragworthook.gateway.upstream.PromptHomes;
 import org.ragworthook.gateway.upstream.TrackedUpstream;
@@ -42,9 +42,9 @@
 	/** Stands still, so that no answer is ever late. */
 	private final ManualTime time = ManualTime.of();
 
-	private final Address entryAddress = Loopback.free();
+	private final Address entryAddress = Loopback.unusedAddress();
 
-	private final Address dispatcherAddress = Loopback.free();
+	private final Address dispatcherAddress = Loopback.unusedAddress();
 
 	@AfterEach
 	void stop() {
@@ -60,7 +60,7 @@
 
 	private LoadExchange exchange(String name, Address address, UpstreamRegistry registry, boolean runsJobs) {
 		return this.closer.add(LoadExchange.start(this.loop, Ticker.system(), registry,
-				SuspectRequests.none(Ticker.system()), new PeerSettings(name, 1, address, runsJobs)));
+				SuspectRequests.none(Ticker.system()), new PeerIdentity(name, 1, address, runsJobs)));
 	}
 
 	/**
@@ -81,7 +81,7 @@
 		dispatching.introduce(this.entryAddress);
 		entry.introduce(this.dispatcherAddress);
 		dispatching.introduced();
-		Loopback.until(() -> asking.dispatcher(SERVICE, (name) -> true).isPresent() && dispatching.fleet().settled());
+		Loopback.await(() -> asking.dispatcher(SERVICE, (name) -> true).isPresent() && dispatching.fleet().settled());
 		TrackedUpstream here = mine.byKey(TrackedUpstream.key("u1")).orElseThrow();
 		Sender first = new Sender(here);
 		Sender second = new Sender(here);
@@ -90,13 +90,13 @@
 			client.ask(second, SERVICE, Set.of(), Long.MAX_VALUE / 2);
 		});
 		TrackedUpstream there = theirs.byKey(TrackedUpstream.key("u1")).orElseThrow();
-		Loopback.until(() -> first.sent.get() == 1 && there.onlineLoad() == 1);
+		Loopback.await(() -> first.sent.get() == 1 && there.onlineLoad() == 1);
 		assertThat(second.sent.get()).isEqualTo(0);
 		this.loop.execute(() -> {
 			here.end(WorkClass.ONLINE);
 			asking.loadChanged();
 		});
-		Loopback.until(() -> second.sent.get() == 1);
+		Loopback.await(() -> second.sent.get() == 1);
 		assertThat(first.sent.get()).isEqualTo(1);
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ChangedJobsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ChangedJobsTests.java
@@ -41,7 +41,7 @@
 		this.entry.changed("job", false);
 		assertThat(this.urged.get()).isEqualTo(1);
 		for (int round = 0; round < 3; round++) {
-			assertThat(this.entry.news()).isTrue();
+			assertThat(this.entry.hasChanges()).isTrue();
 			owner.read(report());
 			this.time.advance(Duration.ofMillis(100));
 		}
@@ -54,7 +54,7 @@
 	void shouldNotTellForLong() {
 		this.entry.changed("job", false);
 		this.time.advance(ChangedJobs.TOLD.plusMillis(1));
-		assertThat(this.entry.news()).isFalse();
+		assertThat(this.entry.hasChanges()).isFalse();
 		assertThat(report().getChangedJobsList()).isEmpty();
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LeaseReportsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LeaseReportsTests.java
@@ -232,7 +232,7 @@
 			this.startedMillis = 1_000 + now().toMillis();
 			this.lease = ConfigurationLease.of(this.clock, LeaseReportsTests.this.time, Runnable::run, this::check,
 					LeaseTerms.within(BOUND), LeaseReportsTests.this.random);
-			PeerSettings self = new PeerSettings(name, this.startedMillis, new Address("127.0.0.1", 1), false);
+			PeerIdentity self = new PeerIdentity(name, this.startedMillis, new Address("127.0.0.1", 1), false);
 			this.reports = new LeaseReports(this.lease, self, this.clock, () -> this.version, () -> this.flush = true);
 		}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ListingPlay.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ListingPlay.java
@@ -188,7 +188,7 @@
 		private void start() {
 			this.run++;
 			Ticker ticker = () -> ListingPlay.this.nowMillis * MILLI;
-			PeerSettings self = new PeerSettings(name(), this.run, address(this.place), this.owner);
+			PeerIdentity self = new PeerIdentity(name(), this.run, address(this.place), this.owner);
 			this.peers = new PeerTable(ticker);
 			this.fleet = new FleetView(ticker, this.peers, self);
 			this.listings = new ListingReports(this.fleet, this::steady);
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
@@ -50,13 +50,13 @@
 
 	private LoadExchange exchange(String name, Address address, UpstreamRegistry registry, boolean runsJobs) {
 		return this.closer.add(LoadExchange.start(this.loop, Ticker.system(), registry,
-				SuspectRequests.none(Ticker.system()), new PeerSettings(name, 1, address, runsJobs)));
+				SuspectRequests.none(Ticker.system()), new PeerIdentity(name, 1, address, runsJobs)));
 	}
 
 	@Test
 	void shouldCountWhatPeersHaveAtUpstreams() throws InterruptedException {
-		Address first = Loopback.free();
-		Address second = Loopback.free();
+		Address first = Loopback.unusedAddress();
+		Address second = Loopback.unusedAddress();
 		UpstreamRegistry mine = registry();
 		UpstreamRegistry other = registry();
 		exchange("a", first, mine, false);
@@ -64,11 +64,11 @@
 		TrackedUpstream theirs = other.serving("svc").get(0);
 		theirs.begin(WorkClass.ONLINE);
 		theirs.begin(WorkClass.BATCH);
-		Loopback.until(() -> mine.serving("svc").get(0).load() == 2);
+		Loopback.await(() -> mine.serving("svc").get(0).load() == 2);
 		assertThat(mine.serving("svc").get(0).batchLoad()).isEqualTo(1);
 		theirs.end(WorkClass.ONLINE);
 		theirs.end(WorkClass.BATCH);
-		Loopback.until(() -> mine.serving("svc").get(0).load() == 0);
+		Loopback.await(() -> mine.serving("svc").get(0).load() == 0);
 	}
 
 	/**
@@ -78,19 +78,19 @@
 	 */
 	@Test
 	void shouldTellWhichItemsWait() throws InterruptedException {
-		Address first = Loopback.free();
+		Address first = Loopback.unusedAddress();
 		AtomicReference<Optional<Map<Integer, Long>>> owned = new AtomicReference<>(Optional.empty());
 		LoadExchange entry = exchange("entry", first, registry(), false);
-		LoadExchange otherEntry = exchange("other", Loopback.free(), registry(), false);
-		LoadExchange owner = exchange("owner", Loopback.free(), registry(), true);
+		LoadExchange otherEntry = exchange("other", Loopback.unusedAddress(), registry(), false);
+		LoadExchange owner = exchange("owner", Loopback.unusedAddress(), registry(), true);
 		owner.backlog(owned::get);
 		otherEntry.accepted(() -> Map.of(7, 40L));
 		assertThat(entry.waiting(7)).isEqualTo(new WaitingTokens(false, 0));
 		otherEntry.introduce(first);
 		owner.introduce(first);
-		Loopback.until(() -> entry.waiting(7).equals(new WaitingTokens(false, 40)));
+		Loopback.await(() -> entry.waiting(7).equals(new WaitingTokens(false, 40)));
 		owned.set(Optional.of(Map.of(7, 60L, 8, 1L)));
-		Loopback.until(() -> entry.waiting(7).equals(new WaitingTokens(true, 100)));
+		Loopback.await(() -> entry.waiting(7).equals(new WaitingTokens(true, 100)));
 		assertThat(entry.waiting(8).tokens()).isEqualTo(1);
 		assertThat(owner.waiting(8)).isEqualTo(new WaitingTokens(true, 1));
 	}
@@ -102,8 +102,8 @@
 	 */
 	@Test
 	void shouldLeaveOutWhoLostTheStoreUnlessAllHave() throws InterruptedException {
-		Address first = Loopback.free();
-		Address second = Loopback.free();
+		Address first = Loopback.unusedAddress();
+		Address second = Loopback.unusedAddress();
 		AtomicBoolean firstLost = new AtomicBoolean();
 		AtomicBoolean secondLost = new AtomicBoolean();
 		LoadExchange a = exchange("a", first, registry(), true);
@@ -111,11 +111,11 @@
 		a.fleet().storeLost(firstLost::get);
 		b.fleet().storeLost(secondLost::get);
 		b.introduce(first);
-		Loopback.until(() -> a.fleet().jobRunners().size() == 2);
+		Loopback.await(() -> a.fleet().jobRunners().size() == 2);
 		secondLost.set(true);
-		Loopback.until(() -> a.fleet().jobRunners().equals(List.of("a")));
+		Loopback.await(() -> a.fleet().jobRunners().equals(List.of("a")));
 		firstLost.set(true);
-		Loopback.until(() -> a.fleet().jobRunners().size() == 2);
+		Loopback.await(() -> a.fleet().jobRunners().size() == 2);
 	}
 
 	/**
@@ -124,13 +124,13 @@
 	 */
 	@Test
 	void shouldLeaveOutWhoLeaves() throws InterruptedException {
-		Address first = Loopback.free();
+		Address first = Loopback.unusedAddress();
 		LoadExchange a = exchange("a", first, registry(), true);
-		LoadExchange b = exchange("b", Loopback.free(), registry(), true);
+		LoadExchange b = exchange("b", Loopback.unusedAddress(), registry(), true);
 		b.introduce(first);
-		Loopback.until(() -> a.fleet().jobRunners().size() == 2);
+		Loopback.await(() -> a.fleet().jobRunners().size() == 2);
 		b.leave();
-		Loopback.until(() -> a.fleet().jobRunners().equals(List.of("a")));
+		Loopback.await(() -> a.fleet().jobRunners().equals(List.of("a")));
 	}
 
 	/**
@@ -140,15 +140,15 @@
 	@Test
 	void shouldNotBeSettledBeforeItsPeersAreHeard() throws InterruptedException {
 		ManualTime time = ManualTime.of();
-		Address first = Loopback.free();
-		Address second = Loopback.free();
+		Address first = Loopback.unusedAddress();
+		Address second = Loopback.unusedAddress();
 		LoadExchange late = this.closer.add(LoadExchange.start(this.loop, time, registry(), SuspectRequests.none(time),
-				new PeerSettings("a", 1, first, true)));
+				new PeerIdentity("a", 1, first, true)));
 		assertThat(late.fleet().settled()).isFalse();
 		late.introduce(second);
 		late.introduced();
 		exchange("b", second, registry(), true).introduce(first);
-		Loopback.until(late.fleet()::settled);
+		Loopback.await(late.fleet()::settled);
 		assertThat(late.fleet().jobRunners()).containsExactly("a", "b");
 	}
 
@@ -159,8 +159,8 @@
 	void shouldBeSettledAfterAWhileThoughAPeerIsSilent() {
 		ManualTime time = ManualTime.of();
 		LoadExchange late = this.closer.add(LoadExchange.start(this.loop, time, registry(), SuspectRequests.none(time),
-				new PeerSettings("a", 1, Loopback.free(), true)));
-		late.introduce(Loopback.free());
+				new PeerIdentity("a", 1, Loopback.unusedAddress(), true)));
+		late.introduce(Loopback.unusedAddress());
 		late.introduced();
 		time.advance(Duration.ofMillis(1_400));
 		assertThat(late.fleet().settled()).isFalse();
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/Loopback.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/Loopback.java
@@ -24,7 +24,7 @@
 	 * Returns an address for datagrams that nobody has at the moment.
 	 * @return the address
 	 */
-	public static Address free() {
+	public static Address unusedAddress() {
 		try (DatagramSocket socket = new DatagramSocket()) {
 			return new Address("127.0.0.1", socket.getLocalPort());
 		}
@@ -38,7 +38,7 @@
 	 * @param condition what is to hold
 	 * @throws InterruptedException if the test is stopped
 	 */
-	public static void until(BooleanSupplier condition) throws InterruptedException {
+	public static void await(BooleanSupplier condition) throws InterruptedException {
 		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
 		while (!condition.getAsBoolean()) {
 			assertThat(System.nanoTime() - end).isLessThan(0L);
