--- a/examples/embedding/TwoHolders.java
+++ b/examples/embedding/TwoHolders.java
@@ -30,15 +30,16 @@
 		ManualTime time = ManualTime.of();
 		LeaseKeeper first = keeper(store, time, "first");
 		LeaseKeeper second = keeper(store, time, "second");
-		first.look().join();
-		System.out.println("first takes:  epoch " + first.take().join().orElseThrow().epoch());
+		first.refresh().join();
+		System.out.println("first takes:  epoch " + first.acquire().join().orElseThrow().epoch());
 		Stored record = writer(store, "first").create(key(), "made by epoch 1", Labels.empty()).join();
 
-		second.look().join();
-		System.out.println("second takes: " + second.take().join().map((lease) -> "epoch " + lease.epoch()).orElse("no"));
+		second.refresh().join();
+		System.out
+			.println("second takes: " + second.acquire().join().map((lease) -> "epoch " + lease.epoch()).orElse("no"));
 		time.advance(PERIOD);
 		System.out.println("first, paused for a period, holds: " + first.held().isPresent());
-		System.out.println("second takes: epoch " + second.take().join().orElseThrow().epoch());
+		System.out.println("second takes: epoch " + second.acquire().join().orElseThrow().epoch());
 
 		writer(store, "second").update(record, "rewritten by epoch 2").join();
 		boolean late = writer(store, "first").update(record, "late result of epoch 1")
--- a/modules/core/src/main/java/org/ragworthook/core/admission/AccountGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/AccountGate.java
@@ -15,17 +15,17 @@
 
 	private static final Duration IN_FLIGHT_WAIT = Duration.ofSeconds(1);
 
-	private final RateLimit requests;
+	private final TokenBucket requests;
 
-	private final RateLimit tokens;
+	private final TokenBucket tokens;
 
 	private final AtomicInteger inFlight = new AtomicInteger();
 
 	private volatile int inFlightLimit;
 
 	private AccountGate(Ticker ticker) {
-		this.requests = RateLimit.of(ticker);
-		this.tokens = RateLimit.of(ticker);
+		this.requests = TokenBucket.of(ticker);
+		this.tokens = TokenBucket.of(ticker);
 	}
 
 	/**
@@ -44,26 +44,26 @@
 	 * @param requestsInFlight requests in flight at this entry, or zero for no limit
 	 * @param tokensPerSecond tokens a second at this entry, or zero for no limit
 	 */
-	public void limit(double requestsPerSecond, int requestsInFlight, double tokensPerSecond) {
-		this.requests.rate(requestsPerSecond);
-		this.tokens.rate(tokensPerSecond);
+	public void setLimits(double requestsPerSecond, int requestsInFlight, double tokensPerSecond) {
+		this.requests.setRate(requestsPerSecond);
+		this.tokens.setRate(tokensPerSecond);
 		this.inFlightLimit = requestsInFlight;
 	}
 
 	/**
 	 * Asks for a request to be let in. A request that is let in must be ended with
-	 * {@link #ended(int)}.
+	 * {@link #release(int)}.
 	 * @return empty if it is let in, else what kept it out
 	 */
 	public Optional<Refusal> admit() {
-		Duration tokenDebt = this.tokens.debt();
+		Duration tokenDebt = this.tokens.timeUntilAvailable();
 		if (!tokenDebt.isZero()) {
 			return Optional.of(new Refusal("tokens per second", tokenDebt));
 		}
 		if (!enter(this.inFlightLimit)) {
 			return Optional.of(new Refusal("requests in flight", IN_FLIGHT_WAIT));
 		}
-		Duration wait = this.requests.take();
+		Duration wait = this.requests.tryTake();
 		if (!wait.isZero()) {
 			this.inFlight.decrementAndGet();
 			return Optional.of(new Refusal("requests per second", wait));
@@ -89,7 +89,7 @@
 	 * @param tokensUsed the tokens of its prompt and answer. They are known only now, so
 	 * a request may take the account beyond its limit; the next ones wait for it
 	 */
-	public void ended(int tokensUsed) {
+	public void release(int tokensUsed) {
 		this.inFlight.decrementAndGet();
 		this.tokens.charge(tokensUsed);
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/admission/ArrivalOrderGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/ArrivalOrderGate.java
@@ -46,10 +46,10 @@
 	private List<GateAction> offer(Offer offer, boolean batch) {
 		Objects.requireNonNull(offer, "offer is null");
 		if (this.leaving) {
-			return List.of(new GateAction.Refuse(offer.run(), GateAction.Reason.LEAVING));
+			return List.of(new GateAction.Refuse(offer.run(), GateAction.Reason.DRAINING));
 		}
 		if (batch && this.batchRunning >= this.batchLimit) {
-			return List.of(new GateAction.Refuse(offer.run(), GateAction.Reason.FULL));
+			return List.of(new GateAction.Refuse(offer.run(), GateAction.Reason.QUEUE_FULL));
 		}
 		this.running.put(offer.run(), batch);
 		this.batchRunning += (batch) ? 1 : 0;
@@ -57,11 +57,11 @@
 	}
 
 	@Override
-	public void started(RunKey run) {
+	public void firstOutput(RunKey run) {
 	}
 
 	@Override
-	public List<GateAction> finished(RunKey run, Ending ending, int tokens) {
+	public List<GateAction> finished(RunKey run, RunOutcome ending, int tokens) {
 		Boolean batch = this.running.remove(run);
 		this.batchRunning -= (Boolean.TRUE.equals(batch)) ? 1 : 0;
 		return List.of();
@@ -69,25 +69,25 @@
 
 	@Override
 	public List<GateAction> preempted(RunKey run) {
-		return finished(run, Ending.CANCELLED, 0);
+		return finished(run, RunOutcome.CANCELLED, 0);
 	}
 
 	@Override
-	public boolean withdrawn(RunKey run) {
+	public boolean withdraw(RunKey run) {
 		return false;
 	}
 
 	@Override
-	public void engineWaiting(int waiting) {
+	public void engineQueueReported(int waiting) {
 	}
 
 	@Override
-	public List<GateAction> swept() {
+	public List<GateAction> sweep() {
 		return List.of();
 	}
 
 	@Override
-	public List<GateAction> leave() {
+	public List<GateAction> drain() {
 		this.leaving = true;
 		return List.of();
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/admission/ConcurrencyLimit.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/ConcurrencyLimit.java
@@ -127,7 +127,7 @@
 	 * @param count how many tokens
 	 * @param nanos how long they took together
 	 */
-	public void tokens(int count, long nanos) {
+	public void tokensGenerated(int count, long nanos) {
 		this.tokens += count;
 		this.tokenNanos += nanos;
 	}
@@ -135,7 +135,7 @@
 	/**
 	 * Learns that the limit was reached.
 	 */
-	public void reached() {
+	public void limitReached() {
 		this.inUse = true;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/admission/EngineGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/EngineGate.java
@@ -27,7 +27,7 @@
 	 * Learns that the engine has given the first output of a run.
 	 * @param run the run
 	 */
-	void started(RunKey run);
+	void firstOutput(RunKey run);
 
 	/**
 	 * Learns that a run is over. A run that the gate does not know is ignored.
@@ -36,7 +36,7 @@
 	 * @param tokens how many tokens it generated, or zero where there are none
 	 * @return what to do
 	 */
-	List<GateAction> finished(RunKey run, Ending ending, int tokens);
+	List<GateAction> finished(RunKey run, RunOutcome ending, int tokens);
 
 	/**
 	 * Learns that a cancelled batch run has left the engine.
@@ -48,31 +48,31 @@
 	/**
 	 * Learns that nobody wants a request any longer. A request that still waits leaves
 	 * the queue without an action; one that runs stays counted until
-	 * {@link #finished(RunKey, Ending, int)}.
+	 * {@link #finished(RunKey, RunOutcome, int)}.
 	 * @param run the run
 	 * @return whether the request was still waiting
 	 */
-	boolean withdrawn(RunKey run);
+	boolean withdraw(RunKey run);
 
 	/**
 	 * Learns, with a lag, how many requests wait in the engine's own queue.
 	 * @param waiting the number that the engine's load page gives
 	 */
-	void engineWaiting(int waiting);
+	void engineQueueReported(int waiting);
 
 	/**
 	 * Lets go of requests whose deadline has passed and of suspects that have waited long
 	 * enough. Called every few hundred milliseconds.
 	 * @return what to do
 	 */
-	List<GateAction> swept();
+	List<GateAction> sweep();
 
 	/**
 	 * Stops taking requests in. Everything that waits is handed back; batch runs that may
 	 * be cancelled are, all others finish.
 	 * @return what to do
 	 */
-	List<GateAction> leave();
+	List<GateAction> drain();
 
 	/**
 	 * Returns how busy the engine is.
--- a/modules/core/src/main/java/org/ragworthook/core/admission/Placing.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/EnqueueResult.java
@@ -9,7 +9,7 @@
  *
  * @param <T> the type of what waits
  */
-public sealed interface Placing<T> {
+public sealed interface EnqueueResult<T> {
 
 	/**
 	 * The request waits.
@@ -18,7 +18,7 @@
 	 * @param retryAfter what the one who had to go is told
 	 * @param <T> the type of what waits
 	 */
-	record Queued<T>(Optional<Ticket<T>> shed, Duration retryAfter) implements Placing<T> {
+	record Queued<T>(Optional<QueuedRequest<T>> shed, Duration retryAfter) implements EnqueueResult<T> {
 
 		/**
 		 * Checks the parts.
@@ -37,7 +37,7 @@
 	 * @param retryAfter after which time it may find room
 	 * @param <T> the type of what waits
 	 */
-	record Refused<T>(Reason reason, Duration retryAfter) implements Placing<T> {
+	record Refused<T>(Reason reason, Duration retryAfter) implements EnqueueResult<T> {
 
 		/**
 		 * Checks the parts.
@@ -58,7 +58,7 @@
 		FULL,
 
 		/** The deadline will pass before its turn comes. */
-		TOO_LATE
+		DEADLINE_UNREACHABLE
 
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/admission/FairQueue.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/FairQueue.java
@@ -15,7 +15,7 @@
 /**
  * Requests that wait for room, served in turn by account: each account gets a share by
  * its weight, and within an account the most urgent goes first. Confined to one thread,
- * but for {@link #ended()}.
+ * but for {@link #requestEnded()}.
  * <p>
  * The queue is bounded. If it is full, the least urgent of those accounts is shed that
  * have at least as much waiting, for their weight, as the newcomer's, so that no account
@@ -64,7 +64,7 @@
 	 * @param ticket what wants to wait
 	 * @return whether it waits, and who had to go for it
 	 */
-	public Placing<T> offer(Ticket<T> ticket) {
+	public EnqueueResult<T> offer(QueuedRequest<T> ticket) {
 		Objects.requireNonNull(ticket, "ticket is null");
 		Account<T> account = this.accounts.get(ticket.account());
 		int own = (account != null) ? account.waiting.size() : 0;
@@ -73,22 +73,22 @@
 		// elsewhere; letting it wait would also hold up those that can be in time.
 		if (ticket.deadlineNanos() != Offer.NO_DEADLINE && this.drain.known()
 				&& ticket.deadlineNanos() - this.ticker.nanos() < wait.toNanos() && this.size > 0) {
-			return new Placing.Refused<>(Placing.Reason.TOO_LATE, wait);
+			return new EnqueueResult.Refused<>(EnqueueResult.Reason.DEADLINE_UNREACHABLE, wait);
 		}
-		Optional<Ticket<T>> shed = Optional.empty();
+		Optional<QueuedRequest<T>> shed = Optional.empty();
 		if (this.size >= this.capacity) {
 			Optional<Waiting<T>> victim = victim(ticket, own);
 			if (victim.isEmpty()) {
-				return new Placing.Refused<>(Placing.Reason.FULL, wait);
+				return new EnqueueResult.Refused<>(EnqueueResult.Reason.FULL, wait);
 			}
 			remove(victim.get());
 			shed = Optional.of(victim.get().ticket());
 		}
 		add(ticket);
-		return new Placing.Queued<>(shed, retryAfter());
+		return new EnqueueResult.Queued<>(shed, retryAfter());
 	}
 
-	private void add(Ticket<T> ticket) {
+	private void add(QueuedRequest<T> ticket) {
 		Account<T> account = this.accounts.computeIfAbsent(ticket.account(), (name) -> {
 			Account<T> fresh = new Account<>(name);
 			fresh.turn = this.served;
@@ -100,7 +100,7 @@
 		this.size++;
 	}
 
-	private Optional<Waiting<T>> victim(Ticket<T> newcomer, int own) {
+	private Optional<Waiting<T>> victim(QueuedRequest<T> newcomer, int own) {
 		double ownShare = (own + 1) / (double) newcomer.weight();
 		Optional<Waiting<T>> victim = Optional.empty();
 		for (Account<T> account : this.accounts.values()) {
@@ -114,7 +114,7 @@
 	}
 
 	// One of equal urgency goes only if its account has more waiting.
-	private boolean yields(Ticket<T> waiting, Ticket<T> newcomer, double ownShare) {
+	private boolean yields(QueuedRequest<T> waiting, QueuedRequest<T> newcomer, double ownShare) {
 		if (waiting.deadlineNanos() != newcomer.deadlineNanos()) {
 			return waiting.deadlineNanos() > newcomer.deadlineNanos();
 		}
@@ -125,7 +125,7 @@
 	 * Takes out the request whose turn it is.
 	 * @return what waited, or empty if nothing waits
 	 */
-	public Optional<Ticket<T>> poll() {
+	public Optional<QueuedRequest<T>> poll() {
 		if (this.turns.isEmpty()) {
 			return Optional.empty();
 		}
@@ -147,7 +147,7 @@
 	 * Learns that a request has ended, whether or not it had to wait. The rate at which
 	 * they end tells how long others will wait. May be called by any thread.
 	 */
-	public void ended() {
+	public void requestEnded() {
 		this.drain.ended();
 	}
 
@@ -172,7 +172,7 @@
 	 * Takes out the requests whose deadline has passed.
 	 * @return what waited too long
 	 */
-	public List<Ticket<T>> expired() {
+	public List<QueuedRequest<T>> removeExpired() {
 		long now = this.ticker.nanos();
 		List<Waiting<T>> late = new ArrayList<>();
 		for (Account<T> account : this.accounts.values()) {
@@ -245,7 +245,7 @@
 
 	}
 
-	private record Waiting<T>(Ticket<T> ticket, long order) implements Comparable<Waiting<T>> {
+	private record Waiting<T>(QueuedRequest<T> ticket, long order) implements Comparable<Waiting<T>> {
 
 		@Override
 		public int compareTo(Waiting<T> other) {
--- a/modules/core/src/main/java/org/ragworthook/core/admission/GateAction.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/GateAction.java
@@ -70,16 +70,16 @@
 	enum Reason {
 
 		/** The sidecar's queue is full. */
-		FULL,
+		QUEUE_FULL,
 
 		/** The deadline passed while the request waited. */
-		DEADLINE,
+		DEADLINE_PASSED,
 
 		/** The engine is taken by a suspect that must run alone. */
-		TAKEN_BY_SUSPECT,
+		RESERVED_FOR_SUSPECT,
 
 		/** The sidecar is leaving. */
-		LEAVING
+		DRAINING
 
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/admission/GatePolicy.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/GatePolicy.java
@@ -13,15 +13,15 @@
 	/** Online before batch, with preemption and a learnt limit. */
 	PRIORITY {
 		@Override
-		public EngineGate gate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom) {
-			return PriorityGate.builder(ticker).limit(limit).headroom(headroom).queues(256, batchRoom).build();
+		public EngineGate createGate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom) {
+			return PriorityGate.builder(ticker).limit(limit).headroom(headroom).queueLimits(256, batchRoom).build();
 		}
 	},
 
 	/** Everything in the order of its arrival, queued by the engine: the baseline. */
 	ARRIVAL_ORDER {
 		@Override
-		public EngineGate gate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom) {
+		public EngineGate createGate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom) {
 			return ArrivalOrderGate.of(batchRoom);
 		}
 	};
@@ -35,7 +35,7 @@
 	 * without a limit, how many it passes on
 	 * @return a gate for one engine
 	 */
-	public abstract EngineGate gate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom);
+	public abstract EngineGate createGate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom);
 
 	/**
 	 * Reads a policy as settings name it.
--- a/modules/core/src/main/java/org/ragworthook/core/admission/Offer.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/Offer.java
@@ -8,12 +8,12 @@
  * @param run which attempt at which request
  * @param deadlineNanos the ticker's reading after which the request is of no use, or
  * {@link #NO_DEADLINE}
- * @param alone whether the request is suspected of crashing engines, so that nothing may
- * run beside it
+ * @param exclusive whether the request is suspected of crashing engines, so that nothing
+ * may run beside it
  * @param preemptible whether a batch request may be cancelled once it runs; one that may
  * run only once may not
  */
-public record Offer(RunKey run, long deadlineNanos, boolean alone, boolean preemptible) {
+public record Offer(RunKey run, long deadlineNanos, boolean exclusive, boolean preemptible) {
 
 	/** The deadline of a request that has none. */
 	public static final long NO_DEADLINE = Long.MAX_VALUE;
@@ -40,14 +40,14 @@
 	 * @return the offer
 	 */
 	public Offer withDeadline(long nanos) {
-		return new Offer(this.run, nanos, this.alone, this.preemptible);
+		return new Offer(this.run, nanos, this.exclusive, this.preemptible);
 	}
 
 	/**
 	 * Returns the same offer, to be run with nothing beside it.
 	 * @return the offer
 	 */
-	public Offer asSuspect() {
+	public Offer asExclusive() {
 		return new Offer(this.run, this.deadlineNanos, true, this.preemptible);
 	}
 
@@ -56,7 +56,7 @@
 	 * @return the offer
 	 */
 	public Offer notPreemptible() {
-		return new Offer(this.run, this.deadlineNanos, this.alone, false);
+		return new Offer(this.run, this.deadlineNanos, this.exclusive, false);
 	}
 
 	boolean expired(long now) {
--- a/modules/core/src/main/java/org/ragworthook/core/admission/PriorityGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/PriorityGate.java
@@ -33,7 +33,7 @@
 
 	private final int batchQueueLimit;
 
-	private final long suspectPatienceNanos;
+	private final long suspectMaxWaitNanos;
 
 	/** In the order in which they were passed on, so that the youngest are last. */
 	private final Map<RunKey, Running> running = new LinkedHashMap<>();
@@ -58,7 +58,7 @@
 		this.headroom = builder.headroom;
 		this.onlineQueueLimit = builder.onlineQueueLimit;
 		this.batchQueueLimit = builder.batchQueueLimit;
-		this.suspectPatienceNanos = builder.suspectPatience.toNanos();
+		this.suspectMaxWaitNanos = builder.suspectMaxWait.toNanos();
 	}
 
 	/**
@@ -85,14 +85,14 @@
 	private List<GateAction> offer(Offer offer, boolean isBatch, Deque<Waiting> queue, int bound) {
 		Objects.requireNonNull(offer, "offer is null");
 		if (this.leaving) {
-			return refused(offer, GateAction.Reason.LEAVING);
+			return refused(offer, GateAction.Reason.DRAINING);
 		}
-		if (this.exclusive.isPresent() && !isBatch && !offer.alone()) {
-			return refused(offer, GateAction.Reason.TAKEN_BY_SUSPECT);
+		if (this.exclusive.isPresent() && !isBatch && !offer.exclusive()) {
+			return refused(offer, GateAction.Reason.RESERVED_FOR_SUSPECT);
 		}
-		Deque<Waiting> target = (offer.alone()) ? this.suspects : queue;
+		Deque<Waiting> target = (offer.exclusive()) ? this.suspects : queue;
 		if (target.size() >= bound) {
-			return refused(offer, GateAction.Reason.FULL);
+			return refused(offer, GateAction.Reason.QUEUE_FULL);
 		}
 		target.addLast(new Waiting(offer, isBatch, this.ticker.nanos()));
 		return scheduled();
@@ -103,7 +103,7 @@
 	}
 
 	@Override
-	public void started(RunKey run) {
+	public void firstOutput(RunKey run) {
 		Running entry = this.running.get(run);
 		if (entry != null && entry.firstOutputNanos == 0) {
 			entry.firstOutputNanos = this.ticker.nanos();
@@ -112,16 +112,16 @@
 	}
 
 	@Override
-	public List<GateAction> finished(RunKey run, Ending ending, int tokens) {
+	public List<GateAction> finished(RunKey run, RunOutcome ending, int tokens) {
 		Running entry = this.running.get(run);
 		if (entry == null) {
 			return List.of();
 		}
-		if (ending == Ending.OVERLOADED) {
+		if (ending == RunOutcome.OVERLOADED) {
 			this.limit.overloaded();
 		}
 		if (entry.firstOutputNanos != 0 && tokens > 1) {
-			this.limit.tokens(tokens - 1, this.ticker.nanos() - entry.firstOutputNanos);
+			this.limit.tokensGenerated(tokens - 1, this.ticker.nanos() - entry.firstOutputNanos);
 		}
 		return freed(run, entry);
 	}
@@ -147,7 +147,7 @@
 	}
 
 	@Override
-	public boolean withdrawn(RunKey run) {
+	public boolean withdraw(RunKey run) {
 		if (removed(this.online, run) || removed(this.batch, run) || removed(this.suspects, run)) {
 			return true;
 		}
@@ -164,25 +164,25 @@
 	}
 
 	@Override
-	public void engineWaiting(int waiting) {
+	public void engineQueueReported(int waiting) {
 		this.limit.queueReported(waiting);
 	}
 
 	@Override
-	public List<GateAction> swept() {
+	public List<GateAction> sweep() {
 		return scheduled();
 	}
 
 	@Override
-	public List<GateAction> leave() {
+	public List<GateAction> drain() {
 		this.leaving = true;
 		List<GateAction> actions = new ArrayList<>();
 		for (Deque<Waiting> queue : List.of(this.online, this.batch, this.suspects)) {
-			queue.forEach((waiting) -> actions.addAll(refused(waiting.offer(), GateAction.Reason.LEAVING)));
+			queue.forEach((waiting) -> actions.addAll(refused(waiting.offer(), GateAction.Reason.DRAINING)));
 			queue.clear();
 		}
 		if (this.exclusive.isPresent() && this.running.get(this.exclusive.get().offer().run()) == null) {
-			actions.addAll(refused(this.exclusive.get().offer(), GateAction.Reason.LEAVING));
+			actions.addAll(refused(this.exclusive.get().offer(), GateAction.Reason.DRAINING));
 			this.exclusive = Optional.empty();
 		}
 		cancelYoungest(this.batchRunning - this.cancelling, actions);
@@ -207,7 +207,7 @@
 			start(this.online.removeFirst(), actions);
 		}
 		if (!this.online.isEmpty()) {
-			this.limit.reached();
+			this.limit.limitReached();
 			int wanted = Math.min(this.online.size(), this.batchRunning);
 			cancelYoungest(wanted - this.cancelling, actions);
 			return actions;
@@ -221,14 +221,14 @@
 		while (!this.batch.isEmpty() && this.running.size() < slots) {
 			Waiting next = this.batch.removeFirst();
 			if (next.offer().expired(now)) {
-				actions.addAll(refused(next.offer(), GateAction.Reason.DEADLINE));
+				actions.addAll(refused(next.offer(), GateAction.Reason.DEADLINE_PASSED));
 			}
 			else {
 				start(next, actions);
 			}
 		}
 		if (!this.batch.isEmpty()) {
-			this.limit.reached();
+			this.limit.limitReached();
 		}
 	}
 
@@ -240,14 +240,15 @@
 		boolean free = this.online.isEmpty() && this.running.size() == this.batchRunning;
 		// Under constant load the engine is never free; without the patience a suspect
 		// would wait until its deadline although it may well be innocent.
-		return free || now - head.sinceNanos() >= this.suspectPatienceNanos;
+		return free || now - head.sinceNanos() >= this.suspectMaxWaitNanos;
 	}
 
 	private void runAlone(Waiting suspect, List<GateAction> actions) {
 		if (this.running.containsKey(suspect.offer().run())) {
 			return;
 		}
-		this.online.forEach((waiting) -> actions.addAll(refused(waiting.offer(), GateAction.Reason.TAKEN_BY_SUSPECT)));
+		this.online
+			.forEach((waiting) -> actions.addAll(refused(waiting.offer(), GateAction.Reason.RESERVED_FOR_SUSPECT)));
 		this.online.clear();
 		if (this.running.isEmpty()) {
 			start(suspect, actions);
@@ -263,7 +264,7 @@
 			Offer offer = each.next().offer();
 			if (offer.expired(now)) {
 				each.remove();
-				actions.addAll(refused(offer, GateAction.Reason.DEADLINE));
+				actions.addAll(refused(offer, GateAction.Reason.DEADLINE_PASSED));
 			}
 		}
 	}
@@ -345,7 +346,7 @@
 
 		private int batchQueueLimit = 256;
 
-		private Duration suspectPatience = Duration.ofMillis(500);
+		private Duration suspectMaxWait = Duration.ofMillis(500);
 
 		private Builder(Ticker ticker) {
 			this.ticker = Objects.requireNonNull(ticker, "ticker is null");
@@ -377,7 +378,7 @@
 		 * @param batchRequests how many batch requests
 		 * @return this builder
 		 */
-		public Builder queues(int onlineRequests, int batchRequests) {
+		public Builder queueLimits(int onlineRequests, int batchRequests) {
 			this.onlineQueueLimit = onlineRequests;
 			this.batchQueueLimit = batchRequests;
 			return this;
@@ -389,8 +390,8 @@
 		 * @param patience how long
 		 * @return this builder
 		 */
-		public Builder suspectPatience(Duration patience) {
-			this.suspectPatience = Objects.requireNonNull(patience, "patience is null");
+		public Builder suspectMaxWait(Duration patience) {
+			this.suspectMaxWait = Objects.requireNonNull(patience, "patience is null");
 			return this;
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/admission/Ticket.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/QueuedRequest.java
@@ -12,12 +12,12 @@
  * @param item what waits
  * @param <T> the type of what waits
  */
-public record Ticket<T>(String account, int weight, long deadlineNanos, T item) {
+public record QueuedRequest<T>(String account, int weight, long deadlineNanos, T item) {
 
 	/**
 	 * Checks the parts.
 	 */
-	public Ticket {
+	public QueuedRequest {
 		Objects.requireNonNull(account, "account is null");
 		Objects.requireNonNull(item, "item is null");
 		if (weight < 1) {
--- a/modules/core/src/main/java/org/ragworthook/core/admission/Ending.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/RunOutcome.java
@@ -3,7 +3,7 @@
 /**
  * How a run at the engine ended, as far as the gate learns from it.
  */
-public enum Ending {
+public enum RunOutcome {
 
 	/** The engine answered. */
 	ANSWERED,
@@ -12,7 +12,7 @@
 	OVERLOADED,
 
 	/** The engine was lost, or broke off its answer. */
-	LOST,
+	FAILED,
 
 	/** The run was cancelled because its caller no longer wants it. */
 	CANCELLED
--- a/modules/core/src/main/java/org/ragworthook/core/admission/RateLimit.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/TokenBucket.java
@@ -10,7 +10,7 @@
  * A token bucket that holds one second's worth, kept as the time at which it would be
  * full again, so that one atomic number is all its state.
  */
-public final class RateLimit {
+public final class TokenBucket {
 
 	private static final double NANOS = 1e9;
 
@@ -23,7 +23,7 @@
 	/** Nanoseconds that one unit takes to come back; zero for no limit. */
 	private volatile double unitNanos;
 
-	private RateLimit(Ticker ticker) {
+	private TokenBucket(Ticker ticker) {
 		this.ticker = ticker;
 		this.fullAt = new AtomicLong(ticker.nanos());
 	}
@@ -33,15 +33,15 @@
 	 * @param ticker the time
 	 * @return a new bucket
 	 */
-	public static RateLimit of(Ticker ticker) {
-		return new RateLimit(Objects.requireNonNull(ticker, "ticker is null"));
+	public static TokenBucket of(Ticker ticker) {
+		return new TokenBucket(Objects.requireNonNull(ticker, "ticker is null"));
 	}
 
 	/**
 	 * Sets the rate.
 	 * @param perSecond units a second, or zero for no limit
 	 */
-	public void rate(double perSecond) {
+	public void setRate(double perSecond) {
 		this.unitNanos = (perSecond > 0) ? NANOS / perSecond : 0;
 	}
 
@@ -49,7 +49,7 @@
 	 * Takes one unit if there is one.
 	 * @return zero if it was taken, else after which time there is one
 	 */
-	public Duration take() {
+	public Duration tryTake() {
 		long unit = (long) this.unitNanos;
 		while (unit > 0) {
 			long now = this.ticker.nanos();
@@ -83,7 +83,7 @@
 	 * Returns how long the bucket stays empty.
 	 * @return zero if there is a unit in it
 	 */
-	public Duration debt() {
+	public Duration timeUntilAvailable() {
 		if (this.unitNanos == 0) {
 			return Duration.ZERO;
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/claim/ClaimLog.java
+++ b/modules/core/src/main/java/org/ragworthook/core/claim/ClaimLog.java
@@ -257,7 +257,7 @@
 	 * @param key the request's key
 	 * @param answer its answer
 	 */
-	public void finished(ClaimKey key, ClaimAnswer answer) {
+	public void keepAnswer(ClaimKey key, ClaimAnswer answer) {
 		this.serial.execute(() -> {
 			if (answer.body().length() <= MOST_ANSWER_CHARACTERS) {
 				this.answers.put(key, answer);
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobRunner.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobRunner.java
@@ -16,8 +16,8 @@
 import java.util.function.ToIntFunction;
 
 import org.ragworthook.core.lease.Lease;
+import org.ragworthook.core.lease.ShardLeases;
 import org.ragworthook.core.lease.ShardListener;
-import org.ragworthook.core.lease.ShardMap;
 import org.ragworthook.core.store.Kind;
 import org.ragworthook.core.store.Labels;
 import org.ragworthook.core.store.ObjectStore;
@@ -40,7 +40,7 @@
 
 	private final Builder builder;
 
-	private final ShardMap shards;
+	private final ShardLeases shards;
 
 	private final ShardOwner.Builder ownerBuilder;
 
@@ -61,7 +61,7 @@
 
 	private JobRunner(Builder builder) {
 		this.builder = builder;
-		this.shards = ShardMap.builder(builder.store, builder.stamps)
+		this.shards = ShardLeases.builder(builder.store, builder.stamps)
 			.time(builder.ticker, builder.timers)
 			.listener(this)
 			.entries(builder.entries)
@@ -105,14 +105,14 @@
 	 */
 	public CompletableFuture<Void> leave() {
 		this.closed = true;
-		return this.shards.leave().whenComplete((done, failure) -> this.watch.close());
+		return this.shards.releaseAll().whenComplete((done, failure) -> this.watch.close());
 	}
 
 	/**
 	 * Looks for shards that were released, such as when a peer says that it leaves.
 	 */
 	public void lookForShards() {
-		this.shards.look();
+		this.shards.acquireFree();
 	}
 
 	/**
@@ -172,8 +172,8 @@
 	// -- shards
 
 	@Override
-	public void taken(int shard, Lease lease) {
-		this.builder.shardEvents.taken(shard, lease);
+	public void acquired(int shard, Lease lease) {
+		this.builder.shardEvents.acquired(shard, lease);
 		this.owners.computeIfAbsent(shard, this.ownerBuilder::build).own(lease);
 	}
 
@@ -187,10 +187,10 @@
 	}
 
 	@Override
-	public CompletableFuture<Void> leaving(int shard, Lease lease) {
+	public CompletableFuture<Void> releasing(int shard, Lease lease) {
 		ShardOwner owner = this.owners.get(shard);
 		CompletableFuture<Void> left = (owner != null) ? owner.leave() : CompletableFuture.completedFuture(null);
-		return left.thenCompose((done) -> this.builder.shardEvents.leaving(shard, lease))
+		return left.thenCompose((done) -> this.builder.shardEvents.releasing(shard, lease))
 			.whenComplete((done, failure) -> this.owners.remove(shard, owner));
 	}
 
@@ -251,7 +251,7 @@
 		private static final ShardListener NOBODY = new ShardListener() {
 
 			@Override
-			public void taken(int shard, Lease lease) {
+			public void acquired(int shard, Lease lease) {
 			}
 
 			@Override
@@ -259,7 +259,7 @@
 			}
 
 			@Override
-			public CompletableFuture<Void> leaving(int shard, Lease lease) {
+			public CompletableFuture<Void> releasing(int shard, Lease lease) {
 				return CompletableFuture.completedFuture(null);
 			}
 
--- a/modules/core/src/main/java/org/ragworthook/core/lease/Lease.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/Lease.java
@@ -92,7 +92,7 @@
 	 * @param wanted the next holder's period
 	 * @return the lease with the next epoch
 	 */
-	public Lease takenBy(String taker, Duration wanted) {
+	public Lease acquiredBy(String taker, Duration wanted) {
 		return new Lease(this.name, this.epoch + 1, taker, wanted);
 	}
 
@@ -101,7 +101,7 @@
 	 * it above everything sent so far.
 	 * @return the lease as it is released
 	 */
-	public Lease given() {
+	public Lease asReleased() {
 		return new Lease(this.name, this.epoch, "", this.period);
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/lease/LeaseKeeper.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/LeaseKeeper.java
@@ -98,7 +98,7 @@
 	 * @return whether it is known to be absent, released, left over from this holder, or
 	 * unchanged for a whole period
 	 */
-	public boolean free() {
+	public boolean available() {
 		View now = this.view.get();
 		if (!now.known() || now.own().isPresent()) {
 			return false;
@@ -116,7 +116,7 @@
 	 * Reads the record.
 	 * @return completes when the record was taken note of
 	 */
-	public CompletableFuture<Void> look() {
+	public CompletableFuture<Void> refresh() {
 		return this.store.read(Lease.key(this.name)).thenAccept(this::observe);
 	}
 
@@ -135,18 +135,18 @@
 	 * @return the lease, or empty if it was not free or another came first; fails if the
 	 * platform did not take the write
 	 */
-	public CompletableFuture<Optional<Lease>> take() {
-		return alone(this::takeAlone, Optional::empty);
+	public CompletableFuture<Optional<Lease>> acquire() {
+		return alone(this::acquireAlone, Optional::empty);
 	}
 
-	private CompletableFuture<Optional<Lease>> takeAlone() {
-		if (!free()) {
+	private CompletableFuture<Optional<Lease>> acquireAlone() {
+		if (!available()) {
 			return CompletableFuture.completedFuture(Optional.empty());
 		}
 		View last = this.view.get();
 		Lease next = last.lease(this.name)
 			.orElseGet(() -> new Lease(this.name, 0, "", this.period))
-			.takenBy(this.holder, this.period);
+			.acquiredBy(this.holder, this.period);
 		return write(last.object(), next).thenApply((done) -> held());
 	}
 
@@ -184,7 +184,7 @@
 		if (last.own().isEmpty()) {
 			return CompletableFuture.completedFuture(null);
 		}
-		return this.writer.update(last.object().orElseThrow(), last.own().get().given().text())
+		return this.writer.update(last.object().orElseThrow(), last.own().get().asReleased().text())
 			.handle((stored, failure) -> {
 				if (failure == null) {
 					observe(Optional.of(stored));
--- a/modules/core/src/main/java/org/ragworthook/core/lease/ShardMap.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/ShardLeases.java
@@ -33,7 +33,7 @@
  * a whole period is taken by whoever sees it, above its share, and kept until the list of
  * entries changes.
  */
-public final class ShardMap implements AutoCloseable {
+public final class ShardLeases implements AutoCloseable {
 
 	private static final int RENEWALS_PER_PERIOD = 3;
 
@@ -57,7 +57,7 @@
 
 	private boolean closed;
 
-	private ShardMap(Builder builder) {
+	private ShardLeases(Builder builder) {
 		this.builder = builder;
 		this.group = Labels.of("group", builder.group);
 		LeaseKeeper.Builder keeper = LeaseKeeper.builder(builder.store, builder.stamps, builder.ticker)
@@ -106,7 +106,7 @@
 	 * and a write for each shard taken.
 	 * @return completes when the shards within reach are taken
 	 */
-	public CompletableFuture<Void> look() {
+	public CompletableFuture<Void> acquireFree() {
 		return this.builder.store.list(Kind.LEASE, this.group)
 			.thenCompose(this::settle)
 			.exceptionally((failure) -> null)
@@ -117,7 +117,7 @@
 	 * Hands over all shards. The map takes none afterwards.
 	 * @return completes when the leases are released
 	 */
-	public CompletableFuture<Void> leave() {
+	public CompletableFuture<Void> releaseAll() {
 		close();
 		return all(held(), this::handOver);
 	}
@@ -150,7 +150,7 @@
 		if (isClosed()) {
 			return;
 		}
-		look().whenComplete((done, failure) -> this.builder.timers.schedule(lookAgain(), this::lookLoop));
+		acquireFree().whenComplete((done, failure) -> this.builder.timers.schedule(lookAgain(), this::lookLoop));
 	}
 
 	// Each look lists the leases of all shards. One a second from each of 320 entries
@@ -160,7 +160,7 @@
 	// together they look no more often than twenty times a second, however many they are.
 	private Duration lookAgain() {
 		Duration spread = LOOK_SPREAD.multipliedBy(this.builder.entries.get().size());
-		return (spread.compareTo(this.builder.lookEvery) > 0) ? spread : this.builder.lookEvery;
+		return (spread.compareTo(this.builder.pollInterval) > 0) ? spread : this.builder.pollInterval;
 	}
 
 	private CompletableFuture<Void> settle(Listing listing) {
@@ -177,7 +177,7 @@
 		if (held.size() > share.count()) {
 			return all(held.subList(share.count(), held.size()), this::handOver);
 		}
-		return all(wanted(share, share.count() - held.size()), (shard) -> this.keepers.get(shard).take());
+		return all(wanted(share, share.count() - held.size()), (shard) -> this.keepers.get(shard).acquire());
 	}
 
 	private synchronized ShardShare share() {
@@ -187,15 +187,15 @@
 			this.extra = 0;
 		}
 		ShardShare share = ShardShare.of(this.builder.shards, entries, this.builder.self);
-		return new ShardShare(share.count() + this.extra, share.first());
+		return new ShardShare(share.count() + this.extra, share.firstShard());
 	}
 
 	private synchronized List<Integer> wanted(ShardShare share, int lacking) {
 		long now = this.builder.ticker.nanos();
 		List<Integer> wanted = new ArrayList<>();
 		for (int step = 0; step < this.builder.shards; step++) {
-			int shard = (share.first() + step) % this.builder.shards;
-			if (!this.keepers.get(shard).free()) {
+			int shard = (share.firstShard() + step) % this.builder.shards;
+			if (!this.keepers.get(shard).available()) {
 				this.freeSince.remove(shard);
 				continue;
 			}
@@ -224,7 +224,7 @@
 			}
 			this.leaving.put(shard, new CompletableFuture<>());
 		}
-		return this.builder.listener.leaving(shard, lease.get())
+		return this.builder.listener.releasing(shard, lease.get())
 			.exceptionally((failure) -> null)
 			.thenCompose((ready) -> keeper.release())
 			.whenComplete((done, failure) -> left(shard));
@@ -260,7 +260,7 @@
 			lease.ifPresentOrElse((now) -> this.announced.put(shard, now), () -> this.announced.remove(shard));
 		}
 		before.ifPresent((old) -> this.builder.listener.lost(shard, old));
-		lease.ifPresent((now) -> this.builder.listener.taken(shard, now));
+		lease.ifPresent((now) -> this.builder.listener.acquired(shard, now));
 	}
 
 	private synchronized boolean isClosed() {
@@ -298,7 +298,7 @@
 
 		private Duration period = Duration.ofSeconds(6);
 
-		private Duration lookEvery = Duration.ofSeconds(1);
+		private Duration pollInterval = Duration.ofSeconds(1);
 
 		private Builder(ObjectStore store, Stamps stamps) {
 			this.store = Objects.requireNonNull(store, "store is null");
@@ -372,11 +372,11 @@
 
 		/**
 		 * Sets how often to look for free shards. Each look costs one list.
-		 * @param lookEvery the pause between two looks, 1 s if not set
+		 * @param pollInterval the pause between two looks, 1 s if not set
 		 * @return this builder
 		 */
-		public Builder lookEvery(Duration lookEvery) {
-			this.lookEvery = Objects.requireNonNull(lookEvery, "lookEvery is null");
+		public Builder pollInterval(Duration pollInterval) {
+			this.pollInterval = Objects.requireNonNull(pollInterval, "lookEvery is null");
 			return this;
 		}
 
@@ -384,10 +384,10 @@
 		 * Builds the map.
 		 * @return a map that is not started yet
 		 */
-		public ShardMap build() {
+		public ShardLeases build() {
 			Objects.requireNonNull(this.timers, "timers is null");
 			Objects.requireNonNull(this.listener, "listener is null");
-			return new ShardMap(this);
+			return new ShardLeases(this);
 		}
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/lease/ShardListener.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/ShardListener.java
@@ -12,7 +12,7 @@
 	 * @param shard the shard's number
 	 * @param lease the lease with the epoch to act by
 	 */
-	void taken(int shard, Lease lease);
+	void acquired(int shard, Lease lease);
 
 	/**
 	 * Stops work on a shard, whose lease has lapsed or was taken over.
@@ -28,6 +28,6 @@
 	 * @param lease the lease as it is held
 	 * @return completes when the shard may be handed over
 	 */
-	CompletableFuture<Void> leaving(int shard, Lease lease);
+	CompletableFuture<Void> releasing(int shard, Lease lease);
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/lease/ShardShare.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/ShardShare.java
@@ -9,10 +9,10 @@
  * entries. The shares of all entries sum to the number of shards.
  *
  * @param count how many shards to hold
- * @param first the shard at which to start to look for free ones, so that entries which
- * start together seldom reach for the same shard
+ * @param firstShard the shard at which to start to look for free ones, so that entries
+ * which start together seldom reach for the same shard
  */
-public record ShardShare(int count, int first) {
+public record ShardShare(int count, int firstShard) {
 
 	/**
 	 * Works out an entry's share.
--- a/modules/core/src/main/java/org/ragworthook/core/membership/Members.java
+++ b/modules/core/src/main/java/org/ragworthook/core/membership/Members.java
@@ -9,10 +9,10 @@
  * The instances at one moment. Immutable.
  *
  * @param routable those that may get new work: linked, and not leaving
- * @param wanted those to be linked to: listed or linked. One that leaves is among them,
- * since its next run may listen at the same address
+ * @param linkTargets those to be linked to: listed or linked. One that leaves is among
+ * them, since its next run may listen at the same address
  */
-public record Members(List<Instance> routable, List<Instance> wanted) {
+public record Members(List<Instance> routable, List<Instance> linkTargets) {
 
 	/** No instances. */
 	public static final Members NONE = new Members(List.of(), List.of());
@@ -22,7 +22,7 @@
 	 */
 	public Members {
 		routable = List.copyOf(Objects.requireNonNull(routable, "routable is null"));
-		wanted = List.copyOf(Objects.requireNonNull(wanted, "wanted is null"));
+		linkTargets = List.copyOf(Objects.requireNonNull(linkTargets, "wanted is null"));
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/membership/Membership.java
+++ b/modules/core/src/main/java/org/ragworthook/core/membership/Membership.java
@@ -60,7 +60,7 @@
 	 * @param instances the whole list
 	 * @return the new snapshot
 	 */
-	public synchronized Members listed(Collection<Instance> instances) {
+	public synchronized Members instancesListed(Collection<Instance> instances) {
 		Objects.requireNonNull(instances, "instances is null");
 		this.listed.clear();
 		instances.forEach((instance) -> this.listed.put(instance.link(), instance));
@@ -74,7 +74,7 @@
 	 * @param leaves whether it greeted as leaving
 	 * @return the new snapshot
 	 */
-	public synchronized Members linked(Instance instance, String run, boolean leaves) {
+	public synchronized Members linkOpened(Instance instance, String run, boolean leaves) {
 		this.linked.put(instance.link(), new Linked(instance, Objects.requireNonNull(run, "run is null")));
 		if (leaves) {
 			this.leaving.put(instance.link(), run);
@@ -88,7 +88,7 @@
 	 * @param run the identity that it greeted with
 	 * @return the new snapshot
 	 */
-	public synchronized Members leaving(Address address, String run) {
+	public synchronized Members drainAnnounced(Address address, String run) {
 		this.leaving.put(Objects.requireNonNull(address, "address is null"),
 				Objects.requireNonNull(run, "run is null"));
 		return publish();
@@ -99,7 +99,7 @@
 	 * @param address where it took links
 	 * @return the new snapshot
 	 */
-	public synchronized Members lost(Address address) {
+	public synchronized Members linkLost(Address address) {
 		this.linked.remove(Objects.requireNonNull(address, "address is null"));
 		return publish();
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/order/OrderFence.java
+++ b/modules/core/src/main/java/org/ragworthook/core/order/OrderFence.java
@@ -64,7 +64,7 @@
 	 * @param epoch the order's fencing number
 	 * @return whether no higher number has been seen
 	 */
-	public boolean current(int shard, long epoch) {
+	public boolean isCurrent(int shard, long epoch) {
 		return this.highest.getOrDefault(shard, Long.MAX_VALUE) <= epoch;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/Conviction.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/CrashRecord.java
@@ -7,14 +7,14 @@
  *
  * @param fingerprint the same for requests that are the same
  * @param crashes how many upstreams it crashed
- * @param untilMillis until when this counts, as Unix time in milliseconds
+ * @param expiryMillis until when this counts, as Unix time in milliseconds
  */
-public record Conviction(String fingerprint, int crashes, long untilMillis) {
+public record CrashRecord(String fingerprint, int crashes, long expiryMillis) {
 
 	/**
 	 * Checks the fingerprint.
 	 */
-	public Conviction {
+	public CrashRecord {
 		Objects.requireNonNull(fingerprint, "fingerprint is null");
 	}
 
@@ -24,13 +24,13 @@
 	 * @param other what is known elsewhere of the same request
 	 * @return the larger number of crashes and the later time
 	 */
-	public Conviction merge(Conviction other) {
+	public CrashRecord merge(CrashRecord other) {
 		if (!this.fingerprint.equals(other.fingerprint)) {
 			throw new IllegalArgumentException(
 					"fingerprints " + this.fingerprint + " and " + other.fingerprint + " differ");
 		}
-		return new Conviction(this.fingerprint, Math.max(this.crashes, other.crashes),
-				Math.max(this.untilMillis, other.untilMillis));
+		return new CrashRecord(this.fingerprint, Math.max(this.crashes, other.crashes),
+				Math.max(this.expiryMillis, other.expiryMillis));
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/Quarantine.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/Quarantine.java
@@ -33,7 +33,7 @@
 
 	private final int capacity;
 
-	private final Map<String, Conviction> records = new ConcurrentHashMap<>();
+	private final Map<String, CrashRecord> records = new ConcurrentHashMap<>();
 
 	private Quarantine(InstantSource clock, Duration suspicion, Duration length, int capacity) {
 		this.clock = Objects.requireNonNull(clock, "clock is null");
@@ -59,12 +59,12 @@
 	 * @param fingerprint the request's fingerprint
 	 * @return its standing
 	 */
-	public Standing standing(String fingerprint) {
-		Conviction known = this.records.get(Objects.requireNonNull(fingerprint, "fingerprint is null"));
-		if (known == null || known.untilMillis() <= this.clock.millis()) {
-			return Standing.CLEAR;
+	public QuarantineState state(String fingerprint) {
+		CrashRecord known = this.records.get(Objects.requireNonNull(fingerprint, "fingerprint is null"));
+		if (known == null || known.expiryMillis() <= this.clock.millis()) {
+			return QuarantineState.CLEAR;
 		}
-		return (known.crashes() >= CRASHES) ? Standing.CONVICTED : Standing.SUSPECT;
+		return (known.crashes() >= CRASHES) ? QuarantineState.QUARANTINED : QuarantineState.SUSPECT;
 	}
 
 	/**
@@ -72,12 +72,12 @@
 	 * @param fingerprint the request's fingerprint
 	 * @return the time left, or empty if it is not convicted
 	 */
-	public Optional<Duration> left(String fingerprint) {
-		if (standing(fingerprint) != Standing.CONVICTED) {
+	public Optional<Duration> remaining(String fingerprint) {
+		if (state(fingerprint) != QuarantineState.QUARANTINED) {
 			return Optional.empty();
 		}
 		return Optional.ofNullable(this.records.get(fingerprint))
-			.map((known) -> Duration.ofMillis(Math.max(1, known.untilMillis() - this.clock.millis())));
+			.map((known) -> Duration.ofMillis(Math.max(1, known.expiryMillis() - this.clock.millis())));
 	}
 
 	/**
@@ -86,15 +86,15 @@
 	 * @param inFlight how many requests were in flight at the upstream, this one included
 	 * @return what the other entries are to be told, if this was the request's own crash
 	 */
-	public Optional<Conviction> crashed(String fingerprint, int inFlight) {
+	public Optional<CrashRecord> recordCrash(String fingerprint, int inFlight) {
 		boolean own = inFlight == 1;
 		long now = this.clock.millis();
-		Conviction after = this.records.compute(fingerprint, (key, old) -> {
-			int before = (old != null && old.untilMillis() > now) ? old.crashes() : 0;
+		CrashRecord after = this.records.compute(fingerprint, (key, old) -> {
+			int before = (old != null && old.expiryMillis() > now) ? old.crashes() : 0;
 			int crashes = before + ((own) ? 1 : 0);
 			Duration lasts = (crashes >= CRASHES) ? this.length : this.suspicion;
-			long until = Math.max(now + lasts.toMillis(), (before > 0) ? old.untilMillis() : 0);
-			return new Conviction(key, crashes, until);
+			long until = Math.max(now + lasts.toMillis(), (before > 0) ? old.expiryMillis() : 0);
+			return new CrashRecord(key, crashes, until);
 		});
 		bound();
 		return (own) ? Optional.of(after) : Optional.empty();
@@ -105,7 +105,7 @@
 	 * may be the answer of an attempt that was older.
 	 * @param fingerprint the request's fingerprint
 	 */
-	public void answered(String fingerprint) {
+	public void recordAnswer(String fingerprint) {
 		if (this.records.containsKey(fingerprint)) {
 			this.records.computeIfPresent(fingerprint, (key, old) -> (old.crashes() >= CRASHES) ? old : null);
 		}
@@ -116,13 +116,13 @@
 	 * @param conviction what it knows
 	 * @return whether this was news, to be told to others
 	 */
-	public boolean merge(Conviction conviction) {
+	public boolean merge(CrashRecord conviction) {
 		Objects.requireNonNull(conviction, "conviction is null");
-		if (conviction.untilMillis() <= this.clock.millis()) {
+		if (conviction.expiryMillis() <= this.clock.millis()) {
 			return false;
 		}
-		Conviction before = this.records.get(conviction.fingerprint());
-		Conviction after = this.records.merge(conviction.fingerprint(), conviction, Conviction::merge);
+		CrashRecord before = this.records.get(conviction.fingerprint());
+		CrashRecord after = this.records.merge(conviction.fingerprint(), conviction, CrashRecord::merge);
 		bound();
 		return !after.equals(before);
 	}
@@ -131,11 +131,11 @@
 	 * Returns what an entry that has just come is to be told.
 	 * @return every conviction that still counts
 	 */
-	public List<Conviction> convictions() {
+	public List<CrashRecord> quarantined() {
 		long now = this.clock.millis();
 		return this.records.values()
 			.stream()
-			.filter((known) -> known.crashes() >= CRASHES && known.untilMillis() > now)
+			.filter((known) -> known.crashes() >= CRASHES && known.expiryMillis() > now)
 			.toList();
 	}
 
@@ -154,12 +154,12 @@
 			return;
 		}
 		long now = this.clock.millis();
-		this.records.values().removeIf((known) -> known.untilMillis() <= now);
+		this.records.values().removeIf((known) -> known.expiryMillis() <= now);
 		int surplus = this.records.size() - this.capacity;
 		if (surplus > 0) {
 			this.records.values()
 				.stream()
-				.sorted(Comparator.comparingInt(Conviction::crashes).thenComparingLong(Conviction::untilMillis))
+				.sorted(Comparator.comparingInt(CrashRecord::crashes).thenComparingLong(CrashRecord::expiryMillis))
 				.limit(surplus + this.capacity / 10L)
 				.toList()
 				.forEach((known) -> this.records.remove(known.fingerprint(), known));
--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/Standing.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/QuarantineState.java
@@ -3,7 +3,7 @@
 /**
  * What may be done with a request.
  */
-public enum Standing {
+public enum QuarantineState {
 
 	/** It may run beside others. */
 	CLEAR,
@@ -12,6 +12,6 @@
 	SUSPECT,
 
 	/** It crashes upstreams: it is refused. */
-	CONVICTED
+	QUARANTINED
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Demand.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/Demand.java
@@ -29,10 +29,10 @@
 	 * idle
 	 * @return the demand of each model
 	 */
-	public static Demand of(List<UpstreamView> observed, Map<String, Usage> usage) {
+	public static Demand of(List<UpstreamView> observed, Map<String, UpstreamUsage> usage) {
 		Demand demand = new Demand();
 		for (UpstreamView view : observed) {
-			Usage own = usage.getOrDefault(view.id(), new Usage(0, 0));
+			UpstreamUsage own = usage.getOrDefault(view.id(), new UpstreamUsage(0, 0));
 			for (String held : view.loaded()) {
 				int at = held.indexOf('@');
 				if (at >= 0) {
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/ModelPlan.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/ModelPlan.java
@@ -24,11 +24,11 @@
 
 	private final Model model;
 
-	private final Room room;
+	private final PlacementPool room;
 
 	private final StepLimits limits;
 
-	private final StepMemory memory;
+	private final StepTracker memory;
 
 	private final long now;
 
@@ -42,8 +42,8 @@
 
 	private int replicas;
 
-	ModelPlan(Model model, List<UpstreamView> holders, Collection<Step> loading, Room room, StepLimits limits,
-			StepMemory memory, long now) {
+	ModelPlan(Model model, List<UpstreamView> holders, Collection<Step> loading, PlacementPool room, StepLimits limits,
+			StepTracker memory, long now) {
 		this.model = model;
 		this.room = room;
 		this.limits = limits;
@@ -71,7 +71,7 @@
 		int missing = target - this.replicas;
 		// No more can begin now; looking for all at once would take a large fleet
 		// seconds.
-		for (int index = 0; index < Math.min(missing, LOOK_AHEAD * this.limits.loads()); index++) {
+		for (int index = 0; index < Math.min(missing, LOOK_AHEAD * this.limits.concurrentLoads()); index++) {
 			boolean below = this.replicas < this.model.replicas().min();
 			load(below ? Step.Priority.RESTORE : Step.Priority.BALANCE, steps);
 		}
@@ -97,7 +97,7 @@
 	private Optional<UpstreamView> candidate(Predicate<String> domains) {
 		String subject = this.model.name() + "@" + this.version;
 		return this.room.take(domains, this.byDomain, (view) -> view.version(this.model.name()).isEmpty()
-				&& !this.memory.waits(view.id(), subject, this.now));
+				&& !this.memory.backingOff(view.id(), subject, this.now));
 	}
 
 	private void spread(List<Step> steps) {
@@ -135,10 +135,10 @@
 			.count();
 		from.stream()
 			.filter((view) -> !this.memory.busy(view.id()))
-			.filter((view) -> !this.memory.waits(view.id(), subject, this.now))
+			.filter((view) -> !this.memory.backingOff(view.id(), subject, this.now))
 			.sorted(Comparator.comparingInt((UpstreamView view) -> this.memory.failures(view.id(), subject))
 				.thenComparing(UpstreamView::id))
-			.limit(Math.max(0, this.limits.rollOuts() - under))
+			.limit(Math.max(0, this.limits.concurrentRollOuts() - under))
 			.forEach((view) -> steps.add(step(Step.Kind.LOAD_MODEL, Step.Priority.ROLL_OUT, view, this.version)));
 	}
 
@@ -166,8 +166,8 @@
 	private void balance(int target, List<Step> steps) {
 		int most = this.byDomain.values().stream().mapToInt(Integer::intValue).max().orElse(0);
 		int least = this.byDomain.values().stream().mapToInt(Integer::intValue).min().orElse(0);
-		boolean uneven = most - least > Math.max(1, this.limits.threshold());
-		if (this.replicas > this.model.replicas().max() || this.replicas - target > this.limits.threshold()
+		boolean uneven = most - least > Math.max(1, this.limits.rebalanceThreshold());
+		if (this.replicas > this.model.replicas().max() || this.replicas - target > this.limits.rebalanceThreshold()
 				|| (uneven && this.replicas > target)) {
 			unload(steps);
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Room.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/PlacementPool.java
@@ -14,11 +14,11 @@
  * The upstreams of a service that have room for another model, by failure domain. One
  * that was taken for a model is not offered for the next.
  */
-final class Room {
+final class PlacementPool {
 
 	private final Map<String, List<UpstreamView>> byDomain = new TreeMap<>();
 
-	Room(List<UpstreamView> upstreams, StepLimits limits, StepMemory memory) {
+	PlacementPool(List<UpstreamView> upstreams, StepLimits limits, StepTracker memory) {
 		for (UpstreamView view : upstreams) {
 			List<UpstreamView> domain = this.byDomain.computeIfAbsent(view.failureDomain(),
 					(name) -> new LinkedList<>());
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Reconciler.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/Reconciler.java
@@ -53,7 +53,7 @@
 	 * @param now the ticker's reading
 	 * @return the steps, the most urgent first, at most one an upstream
 	 */
-	public List<Step> plan(Contract contract, List<UpstreamView> observed, StepMemory memory, long now) {
+	public List<Step> plan(Contract contract, List<UpstreamView> observed, StepTracker memory, long now) {
 		Map<String, List<UpstreamView>> byService = new HashMap<>();
 		observed.forEach((view) -> byService.computeIfAbsent(view.service(), (service) -> new ArrayList<>()).add(view));
 		List<Step> wanted = new ArrayList<>();
@@ -64,14 +64,14 @@
 			}
 		}
 		wanted.sort(Comparator.comparing(Step::priority));
-		return new Pace(this.limits, memory, now).choose(wanted);
+		return new StepThrottle(this.limits, memory, now).choose(wanted);
 	}
 
-	private List<Step> wanted(Service service, List<UpstreamView> upstreams, StepMemory memory, long now) {
+	private List<Step> wanted(Service service, List<UpstreamView> upstreams, StepTracker memory, long now) {
 		List<Step> steps = new ArrayList<>();
 		Map<String, List<UpstreamView>> holders = holders(upstreams);
 		Map<String, List<Step>> loading = loading(memory);
-		Room room = new Room(upstreams, this.limits, memory);
+		PlacementPool room = new PlacementPool(upstreams, this.limits, memory);
 		for (Model model : service.models()) {
 			new ModelPlan(model, holders.getOrDefault(model.name(), List.of()),
 					loading.getOrDefault(model.name(), List.of()), room, this.limits, memory, now)
@@ -96,7 +96,7 @@
 		return holders;
 	}
 
-	private static Map<String, List<Step>> loading(StepMemory memory) {
+	private static Map<String, List<Step>> loading(StepTracker memory) {
 		return memory.running()
 			.stream()
 			.filter((step) -> step.kind() == Step.Kind.LOAD_MODEL)
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Failure.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepFailure.java
@@ -11,12 +11,12 @@
  * @param detail how it last failed
  * @param retryNanos when it is tried again, by the ticker of the process
  */
-public record Failure(String upstream, String subject, int count, String detail, long retryNanos) {
+public record StepFailure(String upstream, String subject, int count, String detail, long retryNanos) {
 
 	/**
 	 * Checks that all parts are there.
 	 */
-	public Failure {
+	public StepFailure {
 		Objects.requireNonNull(upstream, "upstream is null");
 		Objects.requireNonNull(subject, "subject is null");
 		Objects.requireNonNull(detail, "detail is null");
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/StepLimits.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepLimits.java
@@ -5,16 +5,16 @@
 /**
  * How much may change at once. Each upstream carries out one step at a time.
  *
- * @param perFailureDomain steps under way in one failure domain
- * @param loads loads under way
+ * @param stepsPerFailureDomain steps under way in one failure domain
+ * @param concurrentLoads loads under way
  * @param loadsPerMinute loads begun in a minute
- * @param rollOuts upstreams of one model whose version is replaced at once
+ * @param concurrentRollOuts upstreams of one model whose version is replaced at once
  * @param modelsPerUpstream models that an upstream has room for
- * @param threshold replicas by which failure domains may differ, and by which replicas
- * may exceed demand, before one is moved
+ * @param rebalanceThreshold replicas by which failure domains may differ, and by which
+ * replicas may exceed demand, before one is moved
  */
-public record StepLimits(int perFailureDomain, int loads, int loadsPerMinute, int rollOuts, int modelsPerUpstream,
-		int threshold) {
+public record StepLimits(int stepsPerFailureDomain, int concurrentLoads, int loadsPerMinute, int concurrentRollOuts,
+		int modelsPerUpstream, int rebalanceThreshold) {
 
 	private static final int PER_FAILURE_DOMAIN = 16;
 
@@ -39,9 +39,9 @@
 	 * @param replicas the threshold
 	 * @return the new limits
 	 */
-	public StepLimits withThreshold(int replicas) {
-		return new StepLimits(this.perFailureDomain, this.loads, this.loadsPerMinute, this.rollOuts,
-				this.modelsPerUpstream, replicas);
+	public StepLimits withRebalanceThreshold(int replicas) {
+		return new StepLimits(this.stepsPerFailureDomain, this.concurrentLoads, this.loadsPerMinute,
+				this.concurrentRollOuts, this.modelsPerUpstream, replicas);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Pace.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepThrottle.java
@@ -10,11 +10,11 @@
 /**
  * Lets as many steps begin as the limits allow.
  */
-final class Pace {
+final class StepThrottle {
 
 	private final StepLimits limits;
 
-	private final StepMemory memory;
+	private final StepTracker memory;
 
 	private final long now;
 
@@ -26,7 +26,7 @@
 
 	private int loadsThisMinute;
 
-	Pace(StepLimits limits, StepMemory memory, long now) {
+	StepThrottle(StepLimits limits, StepTracker memory, long now) {
 		this.limits = limits;
 		this.memory = memory;
 		this.now = now;
@@ -54,12 +54,12 @@
 
 	private boolean fits(Step step) {
 		if (this.upstreams.contains(step.upstream())
-				|| this.byDomain.getOrDefault(step.failureDomain(), 0) >= this.limits.perFailureDomain()
-				|| this.memory.waits(step.upstream(), step.subject(), this.now)) {
+				|| this.byDomain.getOrDefault(step.failureDomain(), 0) >= this.limits.stepsPerFailureDomain()
+				|| this.memory.backingOff(step.upstream(), step.subject(), this.now)) {
 			return false;
 		}
 		return !step.kind().isLoad()
-				|| (this.loads < this.limits.loads() && this.loadsThisMinute < this.limits.loadsPerMinute());
+				|| (this.loads < this.limits.concurrentLoads() && this.loadsThisMinute < this.limits.loadsPerMinute());
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/StepMemory.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepTracker.java
@@ -18,7 +18,7 @@
  * that never comes up while loads go on and on. So a step that failed waits, twice as
  * long each time, and one that fails on several upstreams waits on all of them.
  */
-public final class StepMemory {
+public final class StepTracker {
 
 	private static final Duration FIRST_WAIT = Duration.ofSeconds(5);
 
@@ -34,19 +34,19 @@
 
 	private final Deque<Long> loadsBegun = new ArrayDeque<>();
 
-	private final Map<Key, Failure> failures = new HashMap<>();
+	private final Map<Key, StepFailure> failures = new HashMap<>();
 
 	private final Map<String, Set<String>> failedOn = new HashMap<>();
 
-	private StepMemory() {
+	private StepTracker() {
 	}
 
 	/**
 	 * Returns a leader's memory at the start of its term.
 	 * @return an empty memory
 	 */
-	public static StepMemory empty() {
-		return new StepMemory();
+	public static StepTracker empty() {
+		return new StepTracker();
 	}
 
 	/**
@@ -54,7 +54,7 @@
 	 * @param step the step
 	 * @param now the ticker's reading
 	 */
-	public synchronized void begun(Step step, long now) {
+	public synchronized void started(Step step, long now) {
 		this.running.put(step.upstream(), step);
 		if (step.kind().isLoad()) {
 			this.loadsBegun.addLast(now);
@@ -65,7 +65,7 @@
 	 * Notes that a step was carried out.
 	 * @param step the step
 	 */
-	public synchronized void done(Step step) {
+	public synchronized void succeeded(Step step) {
 		this.running.remove(step.upstream(), step);
 		this.failures.remove(new Key(step.upstream(), step.subject()));
 		this.failures.remove(new Key(EVERYWHERE, step.subject()));
@@ -89,10 +89,10 @@
 	}
 
 	private void again(Key key, String detail, long now) {
-		Failure before = this.failures.get(key);
+		StepFailure before = this.failures.get(key);
 		int count = (before != null) ? before.count() + 1 : 1;
 		long wait = Math.min(LONGEST_WAIT.toNanos(), FIRST_WAIT.toNanos() << Math.min(count - 1, 10));
-		this.failures.put(key, new Failure(key.upstream(), key.subject(), count, detail, now + wait));
+		this.failures.put(key, new StepFailure(key.upstream(), key.subject(), count, detail, now + wait));
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 * What became of it shows when the upstream is observed again.
 	 * @param upstream the upstream
 	 */
-	public synchronized void lost(String upstream) {
+	public synchronized void upstreamLost(String upstream) {
 		this.running.remove(upstream);
 	}
 
@@ -116,7 +116,7 @@
 	 * Returns what fails.
 	 * @return the failures, those on several upstreams among them
 	 */
-	public synchronized List<Failure> failures() {
+	public synchronized List<StepFailure> failures() {
 		return new ArrayList<>(this.failures.values());
 	}
 
@@ -124,17 +124,17 @@
 		return this.running.containsKey(upstream);
 	}
 
-	synchronized boolean waits(String upstream, String subject, long now) {
-		return waits(new Key(upstream, subject), now) || waits(new Key(EVERYWHERE, subject), now);
+	synchronized boolean backingOff(String upstream, String subject, long now) {
+		return backingOff(new Key(upstream, subject), now) || backingOff(new Key(EVERYWHERE, subject), now);
 	}
 
-	private boolean waits(Key key, long now) {
-		Failure failure = this.failures.get(key);
+	private boolean backingOff(Key key, long now) {
+		StepFailure failure = this.failures.get(key);
 		return failure != null && now - failure.retryNanos() < 0;
 	}
 
 	synchronized int failures(String upstream, String subject) {
-		Failure failure = this.failures.get(new Key(upstream, subject));
+		StepFailure failure = this.failures.get(new Key(upstream, subject));
 		return (failure != null) ? failure.count() : 0;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Usage.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/UpstreamUsage.java
@@ -7,5 +7,5 @@
  * @param busy online requests that run or wait
  * @param limit requests that the upstream runs at once without queueing
  */
-public record Usage(int busy, int limit) {
+public record UpstreamUsage(int busy, int limit) {
 }
--- a/modules/core/src/main/java/org/ragworthook/core/retry/AttemptOutcome.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/AttemptOutcome.java
@@ -18,10 +18,10 @@
 	REFUSED(false),
 
 	/** The sidecar leaves; the upstream never got any of it. */
-	HANDED_BACK(false),
+	RETURNED(false),
 
 	/** Passed on; the upstream was lost before its answer was whole. */
-	BROKEN(true),
+	INCOMPLETE(true),
 
 	/** Passed on; the upstream crashed with it in flight. */
 	CRASHED(true),
--- a/modules/core/src/main/java/org/ragworthook/core/retry/Deadline.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/Deadline.java
@@ -47,7 +47,7 @@
 	 * @return the time, negative once the deadline has passed, or empty if there is no
 	 * deadline
 	 */
-	public Optional<Duration> left() {
+	public Optional<Duration> remaining() {
 		return this.atNanos.map((at) -> Duration.ofNanos(at - this.ticker.nanos()));
 	}
 
@@ -56,8 +56,8 @@
 	 * @param need the time
 	 * @return whether the deadline passes before
 	 */
-	public boolean within(Duration need) {
-		return left().map((left) -> left.compareTo(need) <= 0).orElse(false);
+	public boolean expiresWithin(Duration need) {
+		return remaining().map((left) -> left.compareTo(need) <= 0).orElse(false);
 	}
 
 	/**
@@ -65,15 +65,15 @@
 	 * @return whether no time is left
 	 */
 	public boolean passed() {
-		return within(Duration.ZERO);
+		return expiresWithin(Duration.ZERO);
 	}
 
 	/**
 	 * Returns the time that is left as a link's frame carries it.
 	 * @return milliseconds, at least one, or zero if there is no deadline
 	 */
-	public int millis() {
-		return left().map((left) -> (int) Math.max(1, Math.min(Integer.MAX_VALUE, left.toMillis()))).orElse(0);
+	public int remainingMillis() {
+		return remaining().map((left) -> (int) Math.max(1, Math.min(Integer.MAX_VALUE, left.toMillis()))).orElse(0);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/retry/RetryBudget.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/RetryBudget.java
@@ -40,14 +40,14 @@
 	 * Returns the usual budget: eight retries in a hundred requests, twenty saved up.
 	 * @return the budget
 	 */
-	public static RetryBudget usual() {
+	public static RetryBudget defaults() {
 		return of(0.08, 20);
 	}
 
 	/**
 	 * Learns of a first attempt.
 	 */
-	public void earn() {
+	public void deposit() {
 		long current = this.saved.get();
 		while (current < this.most && !this.saved.compareAndSet(current, Math.min(this.most, current + this.earned))) {
 			current = this.saved.get();
@@ -58,7 +58,7 @@
 	 * Spends a retry if there is one.
 	 * @return whether the retry may be made
 	 */
-	public boolean spend() {
+	public boolean tryWithdraw() {
 		long current = this.saved.get();
 		while (current >= WHOLE) {
 			if (this.saved.compareAndSet(current, current - WHOLE)) {
--- a/modules/core/src/main/java/org/ragworthook/core/retry/RetryPolicy.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/RetryPolicy.java
@@ -35,13 +35,13 @@
 
 	/**
 	 * Learns that a request starts.
-	 * @param repeatable whether running it more than once does no harm
+	 * @param idempotent whether running it more than once does no harm
 	 * @param resumable whether an upstream can go on after what has been passed on
 	 * @return the state of the request
 	 */
-	public RequestState begin(boolean repeatable, boolean resumable) {
-		this.budget.earn();
-		return RequestState.of(repeatable, resumable);
+	public RequestState begin(boolean idempotent, boolean resumable) {
+		this.budget.deposit();
+		return RequestState.of(idempotent, resumable);
 	}
 
 	/**
@@ -86,15 +86,15 @@
 	 * @param state the request
 	 * @return what the caller is told
 	 */
-	public RetryDecision.GiveUp late(RequestState state) {
+	public RetryDecision.GiveUp deadlineExceeded(RequestState state) {
 		return new RetryDecision.GiveUp(deadlinePassed(state));
 	}
 
 	private static boolean mayTryAgain(RequestState state) {
 		if (state.outputSent()) {
-			return state.repeatable() && state.resumable();
+			return state.idempotent() && state.resumable();
 		}
-		return state.repeatable() || !state.passedOn();
+		return state.idempotent() || !state.passedOn();
 	}
 
 	// A request that a leaving sidecar hands back is tried again without the budget: a
@@ -105,7 +105,7 @@
 	// so this cannot multiply the load in an outage.
 	private boolean affordable(RequestState state, AttemptOutcome outcome) {
 		boolean free = outcome == AttemptOutcome.LINK_LOST && state.lostLinks() == 1;
-		return free || outcome == AttemptOutcome.HANDED_BACK || this.budget.spend();
+		return free || outcome == AttemptOutcome.RETURNED || this.budget.tryWithdraw();
 	}
 
 	private static RetryDecision exhausted(RequestState state, AttemptOutcome outcome) {
@@ -120,14 +120,14 @@
 		if (!state.passedOn()) {
 			return notRun;
 		}
-		return (state.repeatable()) ? ErrorCode.REQUEST_FAILED : ErrorCode.REQUEST_OUTCOME_UNKNOWN;
+		return (state.idempotent()) ? ErrorCode.REQUEST_FAILED : ErrorCode.REQUEST_OUTCOME_UNKNOWN;
 	}
 
 	private static ErrorCode deadlinePassed(RequestState state) {
 		if (!state.passedOn()) {
 			return ErrorCode.REQUEST_NOT_RUN_DEADLINE;
 		}
-		return (state.repeatable()) ? ErrorCode.REQUEST_DEADLINE_PASSED : ErrorCode.REQUEST_OUTCOME_UNKNOWN;
+		return (state.idempotent()) ? ErrorCode.REQUEST_DEADLINE_PASSED : ErrorCode.REQUEST_OUTCOME_UNKNOWN;
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Choice.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Choice.java
@@ -43,7 +43,7 @@
 	 * Ends the attempt. Further calls have no effect.
 	 * @param fared how the upstream fared
 	 */
-	public void release(Fared fared) {
+	public void release(Outcome fared) {
 		Objects.requireNonNull(fared, "fared is null");
 		if (this.released.compareAndSet(false, true)) {
 			this.router.released(this.upstream, fared);
@@ -69,13 +69,13 @@
 	/**
 	 * How an upstream fared with an attempt.
 	 */
-	public enum Fared {
+	public enum Outcome {
 
 		/** It answered. */
-		WELL,
+		SUCCESS,
 
 		/** It failed, was lost, or did not take the request. */
-		BADLY,
+		FAILURE,
 
 		/** The attempt says nothing about it. */
 		UNKNOWN
--- a/modules/core/src/main/java/org/ragworthook/core/routing/OutlierDetector.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/OutlierDetector.java
@@ -16,7 +16,7 @@
 public final class OutlierDetector {
 
 	/** The share of requests of an upstream that is well. */
-	public static final double WHOLE = 1.0;
+	public static final double FULL_SHARE = 1.0;
 
 	private static final double FIRST_SHARE = 0.1;
 
@@ -45,11 +45,11 @@
 	 */
 	public void succeeded(long now) {
 		State current = this.state.get();
-		if (current.failures() == 0 && (current.ejections() == 0 || share(now) < WHOLE)) {
+		if (current.failures() == 0 && (current.ejections() == 0 || share(now) < FULL_SHARE)) {
 			return;
 		}
 		this.state.updateAndGet(
-				(old) -> new State(0, (share(old, now) < WHOLE) ? old.ejections() : 0, old.from(), old.until()));
+				(old) -> new State(0, (share(old, now) < FULL_SHARE) ? old.ejections() : 0, old.from(), old.until()));
 	}
 
 	/**
@@ -66,7 +66,7 @@
 			return old;
 		}
 		// On its slow return a single failure shows that it is still ill.
-		boolean returning = old.ejections() > 0 && share(old, now) < WHOLE;
+		boolean returning = old.ejections() > 0 && share(old, now) < FULL_SHARE;
 		if (!returning && old.failures() + 1 < this.settings.failures()) {
 			return new State(old.failures() + 1, old.ejections(), old.from(), old.until());
 		}
@@ -85,14 +85,14 @@
 
 	private double share(State current, long now) {
 		if (current.ejections() == 0) {
-			return WHOLE;
+			return FULL_SHARE;
 		}
 		long back = now - current.until();
 		if (back < 0) {
 			return 0;
 		}
 		long ramp = this.settings.ramp().toNanos();
-		return (back >= ramp) ? WHOLE : FIRST_SHARE + (WHOLE - FIRST_SHARE) * back / ramp;
+		return (back >= ramp) ? FULL_SHARE : FIRST_SHARE + (FULL_SHARE - FIRST_SHARE) * back / ramp;
 	}
 
 	/**
@@ -105,7 +105,7 @@
 	public record Settings(int failures, Duration ejection, Duration ramp) {
 
 		/** Three failures in a row, a second, and a return within five seconds. */
-		public static final Settings USUAL = new Settings(3, Duration.ofSeconds(1), Duration.ofSeconds(5));
+		public static final Settings DEFAULT = new Settings(3, Duration.ofSeconds(1), Duration.ofSeconds(5));
 
 		/**
 		 * Checks the parts.
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Router.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Router.java
@@ -108,12 +108,12 @@
 		return new Choice(this, upstream, reason);
 	}
 
-	void released(Upstream upstream, Choice.Fared fared) {
+	void released(Upstream upstream, Choice.Outcome fared) {
 		upstream.end();
 		this.outstanding.decrementAndGet();
 		switch (fared) {
-			case WELL -> upstream.detector().succeeded(this.ticker.nanos());
-			case BADLY -> upstream.detector().failed(this.ticker.nanos());
+			case SUCCESS -> upstream.detector().succeeded(this.ticker.nanos());
+			case FAILURE -> upstream.detector().failed(this.ticker.nanos());
 			default -> {
 			}
 		}
@@ -133,7 +133,7 @@
 		for (int step = 0; step < RING_STEPS; step++) {
 			Upstream candidate = group.owner(position + step);
 			if (candidate.outstanding() < Math.max(1, bound) && !candidate.full()
-					&& share(candidate, request, now) >= OutlierDetector.WHOLE) {
+					&& share(candidate, request, now) >= OutlierDetector.FULL_SHARE) {
 				return candidate;
 			}
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Subset.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/SubsetSelector.java
@@ -23,7 +23,7 @@
  * <li>a small service is linked to whole.</li>
  * </ul>
  */
-public final class Subset {
+public final class SubsetSelector {
 
 	private final int cover;
 
@@ -31,7 +31,7 @@
 
 	private final int whole;
 
-	private Subset(int cover, int least, int whole) {
+	private SubsetSelector(int cover, int least, int whole) {
 		this.cover = cover;
 		this.least = least;
 		this.whole = whole;
@@ -45,11 +45,11 @@
 	 * @param whole up to how many sidecars an entry links to all
 	 * @return the rule
 	 */
-	public static Subset of(int cover, int least, int whole) {
+	public static SubsetSelector of(int cover, int least, int whole) {
 		if (cover < 1 || least < 1) {
 			throw new IllegalArgumentException("cover " + cover + " and least " + least + " are not both positive");
 		}
-		return new Subset(cover, least, whole);
+		return new SubsetSelector(cover, least, whole);
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	 * and one of another for each sidecar, eight sidecars at least, all up to 32.
 	 * @return the rule
 	 */
-	public static Subset usual() {
+	public static SubsetSelector defaults() {
 		return of(3, 8, 32);
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Upstream.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Upstream.java
@@ -18,7 +18,7 @@
 public final class Upstream {
 
 	/** How long a model counts as missing after the upstream's own answer said so. */
-	public static final Duration LACKING = Duration.ofSeconds(2);
+	public static final Duration MODEL_MISSING_TTL = Duration.ofSeconds(2);
 
 	private static final int UNKNOWN_LIMIT = 16;
 
@@ -59,7 +59,7 @@
 	 * @return the upstream
 	 */
 	public static Upstream of(Instance instance) {
-		return of(instance, OutlierDetector.Settings.USUAL);
+		return of(instance, OutlierDetector.Settings.DEFAULT);
 	}
 
 	/**
@@ -93,7 +93,7 @@
 	 * @param online online requests that run or wait there
 	 * @param limit how many requests the engine runs at once; 0 while it takes none
 	 */
-	public void reported(int online, int limit) {
+	public void loadReported(int online, int limit) {
 		long others = Math.max(0, online - this.outstanding.get());
 		this.report.set((others << 32) | Math.max(0, limit));
 	}
@@ -102,7 +102,7 @@
 	 * Learns which models are loaded.
 	 * @param names the models; none at all counts as any
 	 */
-	public void loaded(Set<String> names) {
+	public void modelsReported(Set<String> names) {
 		this.models = Set.copyOf(names);
 	}
 
@@ -136,7 +136,7 @@
 	 * @param model the model
 	 * @param untilNanos the ticker's reading after which the model may be tried again
 	 */
-	public void lacks(String model, long untilNanos) {
+	public void modelMissing(String model, long untilNanos) {
 		this.lacking.put(model, untilNanos);
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateConcurrencyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateConcurrencyTests.java
@@ -14,7 +14,7 @@
 	private final AccountGate gate = AccountGate.of(() -> 0);
 
 	public AccountGateConcurrencyTests() {
-		this.gate.limit(0, 1, 0);
+		this.gate.setLimits(0, 1, 0);
 	}
 
 	@Operation
@@ -23,8 +23,8 @@
 	}
 
 	@Operation
-	public void ended() {
-		this.gate.ended(0);
+	public void requestEnded() {
+		this.gate.release(0);
 	}
 
 	@Test
--- a/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateTests.java
@@ -29,7 +29,7 @@
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.5, 1, 7, 200 })
 	void shouldHoldRate(double rate) {
-		this.gate.limit(rate, 0, 0);
+		this.gate.setLimits(rate, 0, 0);
 		int seconds = 60;
 		int admitted = 0;
 		for (int i = 0; i < seconds * 1_000; i++) {
@@ -46,7 +46,7 @@
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.5, 3, 40 })
 	void shouldLetInAfterStatedTime(double rate) {
-		this.gate.limit(rate, 0, 0);
+		this.gate.setLimits(rate, 0, 0);
 		Optional<AccountGate.Refusal> refusal = this.gate.admit();
 		while (refusal.isEmpty()) {
 			refusal = this.gate.admit();
@@ -60,20 +60,20 @@
 
 	@Test
 	void shouldHoldRequestsInFlight() {
-		this.gate.limit(0, 2, 0);
+		this.gate.setLimits(0, 2, 0);
 		this.gate.admit();
 		this.gate.admit();
 		assertThat(this.gate.admit().orElseThrow().limit()).isEqualTo("requests in flight");
 		assertThat(this.gate.inFlight()).isEqualTo(2);
-		this.gate.ended(0);
+		this.gate.release(0);
 		assertThat(this.gate.admit()).isEqualTo(Optional.empty());
 	}
 
 	@Test
 	void shouldMakeAccountWaitForTokensUsedBeyondLimit() {
-		this.gate.limit(0, 0, 100);
+		this.gate.setLimits(0, 0, 100);
 		this.gate.admit();
-		this.gate.ended(500);
+		this.gate.release(500);
 		AccountGate.Refusal refusal = this.gate.admit().orElseThrow();
 		assertThat(refusal).isEqualTo(new AccountGate.Refusal("tokens per second", Duration.ofSeconds(4)));
 		this.time.advance(refusal.retryAfter());
--- a/modules/core/src/test/java/org/ragworthook/core/admission/ConcurrencyLimitTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/ConcurrencyLimitTests.java
@@ -17,7 +17,7 @@
 
 	private static void window(ConcurrencyLimit limit, long nanos) {
 		for (int i = 0; i < 16; i++) {
-			limit.reached();
+			limit.limitReached();
 			limit.firstOutput(nanos);
 		}
 	}
@@ -35,7 +35,7 @@
 		long sum = 0;
 		for (int i = 0; i < 6_000; i++) {
 			int over = Math.max(0, limit.value() - capacity);
-			limit.reached();
+			limit.limitReached();
 			limit.firstOutput(FIRST + over * FIRST * 10 / capacity);
 			if (i >= 5_000) {
 				highest = Math.max(highest, limit.value());
@@ -100,7 +100,7 @@
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(8).build();
 		window(limit, FIRST);
 		for (int i = 0; i < 32; i++) {
-			limit.reached();
+			limit.limitReached();
 			limit.firstOutput((i % 4 == 0) ? FIRST : FIRST * 20);
 		}
 		assertThat(limit.value()).isGreaterThan(8);
@@ -135,7 +135,7 @@
 	void shouldFallWhenTokensAreSlow() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(20).tokenTarget(Duration.ofMillis(34)).build();
 		window(limit, FIRST);
-		limit.tokens(100, Duration.ofMillis(5_000).toNanos());
+		limit.tokensGenerated(100, Duration.ofMillis(5_000).toNanos());
 		window(limit, FIRST);
 		assertThat(limit.value()).isLessThan(20);
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/admission/FairQueueTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/FairQueueTests.java
@@ -26,12 +26,12 @@
 
 	private int number;
 
-	private static Ticket<String> ticket(String account, int weight, String item) {
-		return new Ticket<>(account, weight, Offer.NO_DEADLINE, item);
+	private static QueuedRequest<String> ticket(String account, int weight, String item) {
+		return new QueuedRequest<>(account, weight, Offer.NO_DEADLINE, item);
 	}
 
-	private Ticket<String> due(String account, long millis) {
-		return new Ticket<>(account, 1, this.time.nanos() + millis * 1_000_000, account + this.number++);
+	private QueuedRequest<String> due(String account, long millis) {
+		return new QueuedRequest<>(account, 1, this.time.nanos() + millis * 1_000_000, account + this.number++);
 	}
 
 	private void fill(FairQueue<String> target, String account, int weight, int count) {
@@ -59,7 +59,7 @@
 	@Test
 	void shouldServeMostUrgentOfAccountFirst() {
 		this.queue.offer(due("a", 900));
-		Ticket<String> urgent = due("a", 300);
+		QueuedRequest<String> urgent = due("a", 300);
 		this.queue.offer(urgent);
 		assertThat(this.queue.poll()).isEqualTo(Optional.of(urgent));
 	}
@@ -71,12 +71,12 @@
 	@Test
 	void shouldShedLeastUrgent() {
 		FairQueue<String> small = FairQueue.of(this.time, 2);
-		Ticket<String> patient = due("a", 9_000);
+		QueuedRequest<String> patient = due("a", 9_000);
 		small.offer(due("a", 500));
 		small.offer(patient);
-		Placing<String> placing = small.offer(due("b", 600));
-		assertThat(((Placing.Queued<String>) placing).shed()).isEqualTo(Optional.of(patient));
-		assertThat(small.offer(due("c", 9_000))).isInstanceOf(Placing.Refused.class);
+		EnqueueResult<String> placing = small.offer(due("b", 600));
+		assertThat(((EnqueueResult.Queued<String>) placing).shed()).isEqualTo(Optional.of(patient));
+		assertThat(small.offer(due("c", 9_000))).isInstanceOf(EnqueueResult.Refused.class);
 		assertThat(small.size()).isEqualTo(2);
 	}
 
@@ -99,8 +99,8 @@
 	void shouldMakeRoomForAccountThatHasLess() {
 		FairQueue<String> small = FairQueue.of(this.time, 4);
 		fill(small, "greedy", 1, 4);
-		Placing<String> placing = small.offer(ticket("modest", 1, "only"));
-		assertThat(((Placing.Queued<String>) placing).shed().orElseThrow().account()).isEqualTo("greedy");
+		EnqueueResult<String> placing = small.offer(ticket("modest", 1, "only"));
+		assertThat(((EnqueueResult.Queued<String>) placing).shed().orElseThrow().account()).isEqualTo("greedy");
 	}
 
 	/**
@@ -112,7 +112,7 @@
 	void shouldTellHonestRetryAfter(int perSecond) {
 		Duration gap = Duration.ofNanos(1_000_000_000L / perSecond);
 		for (int i = 0; i < perSecond * 10; i++) {
-			this.queue.ended();
+			this.queue.requestEnded();
 			this.time.advance(gap);
 		}
 		fill(this.queue, "a", 1, 40);
@@ -127,13 +127,14 @@
 	@Test
 	void shouldRefuseEarlyWhatCannotBeInTime() {
 		for (int i = 0; i < 20; i++) {
-			this.queue.ended();
+			this.queue.requestEnded();
 			this.time.advance(Duration.ofMillis(500));
 		}
 		fill(this.queue, "a", 1, 20);
-		Placing<String> placing = this.queue.offer(due("a", 2_000));
-		assertThat(((Placing.Refused<String>) placing).reason()).isEqualTo(Placing.Reason.TOO_LATE);
-		assertThat(this.queue.offer(due("b", 2_000))).isInstanceOf(Placing.Queued.class);
+		EnqueueResult<String> placing = this.queue.offer(due("a", 2_000));
+		assertThat(((EnqueueResult.Refused<String>) placing).reason())
+			.isEqualTo(EnqueueResult.Reason.DEADLINE_UNREACHABLE);
+		assertThat(this.queue.offer(due("b", 2_000))).isInstanceOf(EnqueueResult.Queued.class);
 	}
 
 	/**
@@ -143,21 +144,21 @@
 	@Test
 	void shouldNotRefuseOnGuess() {
 		for (int i = 0; i < 20; i++) {
-			this.queue.ended();
+			this.queue.requestEnded();
 		}
 		this.time.advance(Duration.ofMinutes(5));
 		fill(this.queue, "a", 1, 50);
-		assertThat(this.queue.offer(due("a", 2_000))).isInstanceOf(Placing.Queued.class);
+		assertThat(this.queue.offer(due("a", 2_000))).isInstanceOf(EnqueueResult.Queued.class);
 		assertThat(this.queue.retryAfter()).isEqualTo(Duration.ofSeconds(1));
 	}
 
 	@Test
 	void shouldGiveUpExpired() {
-		Ticket<String> late = due("a", 100);
+		QueuedRequest<String> late = due("a", 100);
 		this.queue.offer(late);
 		this.queue.offer(due("a", 500));
 		this.time.advance(Duration.ofMillis(100));
-		assertThat(this.queue.expired()).containsExactly(late);
+		assertThat(this.queue.removeExpired()).containsExactly(late);
 		assertThat(this.queue.size()).isEqualTo(1);
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGatePropertyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGatePropertyTests.java
@@ -51,7 +51,7 @@
 			this.gate = PriorityGate.builder(this.time)
 				.limit(ConcurrencyLimit.fixed(limit))
 				.headroom(headroom)
-				.queues(8, 8)
+				.queueLimits(8, 8)
 				.build();
 		}
 
@@ -71,7 +71,7 @@
 			RunKey run = RunKey.of("r" + number, 1);
 			Offer offer = Offer.of(run);
 			if (random.nextInt(12) == 0) {
-				offer = offer.asSuspect();
+				offer = offer.asExclusive();
 				this.suspects.add(run);
 			}
 			switch (random.nextInt(5)) {
@@ -81,10 +81,10 @@
 				case 1:
 					return this.gate.offerBatch(offer);
 				case 2:
-					return (this.cancelled.isEmpty()) ? this.gate.swept()
+					return (this.cancelled.isEmpty()) ? this.gate.sweep()
 							: end(this.cancelled.get(random.nextInt(this.cancelled.size())));
 				default:
-					return (this.running.isEmpty()) ? this.gate.swept()
+					return (this.running.isEmpty()) ? this.gate.sweep()
 							: end(this.running.get(random.nextInt(this.running.size())));
 			}
 		}
@@ -93,7 +93,7 @@
 			this.running.remove(run);
 			this.ended.add(run);
 			return (this.cancelled.remove(run)) ? this.gate.preempted(run)
-					: this.gate.finished(run, Ending.ANSWERED, 3);
+					: this.gate.finished(run, RunOutcome.ANSWERED, 3);
 		}
 
 		private void carryOut(List<GateAction> actions) {
--- a/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGateTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGateTests.java
@@ -39,7 +39,10 @@
 	}
 
 	private PriorityGate.Builder gate(int limit, int headroom) {
-		return PriorityGate.builder(this.time).limit(ConcurrencyLimit.fixed(limit)).headroom(headroom).queues(4, 4);
+		return PriorityGate.builder(this.time)
+			.limit(ConcurrencyLimit.fixed(limit))
+			.headroom(headroom)
+			.queueLimits(4, 4);
 	}
 
 	@ParameterizedTest
@@ -68,7 +71,7 @@
 		gate.offerBatch(offer("waiting"));
 		assertThat(gate.offerOnline(offer("caller"))).containsExactly(cancel("young"));
 		assertThat(gate.preempted(run("young"))).containsExactly(start("caller"));
-		assertThat(gate.finished(run("caller"), Ending.ANSWERED, 10)).containsExactly(start("waiting"));
+		assertThat(gate.finished(run("caller"), RunOutcome.ANSWERED, 10)).containsExactly(start("waiting"));
 	}
 
 	@Test
@@ -77,7 +80,7 @@
 		List.of("b0", "b1", "b2").forEach((name) -> gate.offerBatch(offer(name)));
 		assertThat(gate.offerOnline(offer("o0"))).containsExactly(cancel("b2"));
 		assertThat(gate.offerOnline(offer("o1"))).containsExactly(cancel("b1"));
-		assertThat(gate.finished(run("b0"), Ending.ANSWERED, 1)).containsExactly(start("o0"));
+		assertThat(gate.finished(run("b0"), RunOutcome.ANSWERED, 1)).containsExactly(start("o0"));
 		assertThat(gate.preempted(run("b2"))).containsExactly(start("o1"));
 		assertThat(gate.preempted(run("b1"))).isEmpty();
 	}
@@ -94,7 +97,7 @@
 		assertThat(gate.offerOnline(offer("o0"))).containsExactly(cancel("repeatable"));
 		assertThat(gate.offerOnline(offer("o1"))).isEmpty();
 		assertThat(gate.preempted(run("repeatable"))).containsExactly(start("o0"));
-		assertThat(gate.finished(run("once"), Ending.ANSWERED, 0)).containsExactly(start("o1"));
+		assertThat(gate.finished(run("once"), RunOutcome.ANSWERED, 0)).containsExactly(start("o1"));
 	}
 
 	@Test
@@ -103,7 +106,7 @@
 		gate.offerOnline(offer("first"));
 		gate.offerBatch(offer("batch"));
 		gate.offerOnline(offer("second"));
-		assertThat(gate.finished(run("first"), Ending.ANSWERED, 1)).containsExactly(start("second"));
+		assertThat(gate.finished(run("first"), RunOutcome.ANSWERED, 1)).containsExactly(start("second"));
 	}
 
 	@Test
@@ -112,7 +115,7 @@
 		for (int i = 0; i < 5; i++) {
 			gate.offerOnline(offer("o" + i));
 		}
-		assertThat(gate.offerOnline(offer("more"))).containsExactly(refuse("more", GateAction.Reason.FULL));
+		assertThat(gate.offerOnline(offer("more"))).containsExactly(refuse("more", GateAction.Reason.QUEUE_FULL));
 	}
 
 	@Test
@@ -133,7 +136,7 @@
 		gate.offerOnline(offer("running"));
 		gate.offerOnline(offer("late").withDeadline(this.time.nanos() + 1_000));
 		this.time.advance(Duration.ofMillis(1));
-		assertThat(gate.swept()).containsExactly(refuse("late", GateAction.Reason.DEADLINE));
+		assertThat(gate.sweep()).containsExactly(refuse("late", GateAction.Reason.DEADLINE_PASSED));
 	}
 
 	/**
@@ -145,9 +148,9 @@
 		gate.offerOnline(offer("running"));
 		gate.offerOnline(offer("gone"));
 		gate.offerOnline(offer("next"));
-		assertThat(gate.withdrawn(run("gone"))).isTrue();
-		assertThat(gate.withdrawn(run("running"))).isFalse();
-		assertThat(gate.finished(run("running"), Ending.CANCELLED, 0)).containsExactly(start("next"));
+		assertThat(gate.withdraw(run("gone"))).isTrue();
+		assertThat(gate.withdraw(run("running"))).isFalse();
+		assertThat(gate.finished(run("running"), RunOutcome.CANCELLED, 0)).containsExactly(start("next"));
 	}
 
 	/**
@@ -159,21 +162,21 @@
 		PriorityGate gate = gate(4, 0).build();
 		gate.offerOnline(offer("innocent"));
 		gate.offerBatch(offer("batch"));
-		assertThat(gate.offerOnline(offer("suspect").asSuspect())).isEmpty();
+		assertThat(gate.offerOnline(offer("suspect").asExclusive())).isEmpty();
 		this.time.advance(Duration.ofSeconds(1));
-		assertThat(gate.swept()).containsExactly(cancel("batch"));
+		assertThat(gate.sweep()).containsExactly(cancel("batch"));
 		assertThat(gate.offerOnline(offer("other")))
-			.containsExactly(refuse("other", GateAction.Reason.TAKEN_BY_SUSPECT));
+			.containsExactly(refuse("other", GateAction.Reason.RESERVED_FOR_SUSPECT));
 		assertThat(gate.preempted(run("batch"))).isEmpty();
-		assertThat(gate.finished(run("innocent"), Ending.ANSWERED, 1)).containsExactly(start("suspect"));
+		assertThat(gate.finished(run("innocent"), RunOutcome.ANSWERED, 1)).containsExactly(start("suspect"));
 		gate.offerBatch(offer("later"));
 		assertThat(gate.load().batchRunning()).isEqualTo(0);
-		assertThat(gate.finished(run("suspect"), Ending.LOST, 0)).containsExactly(start("later"));
+		assertThat(gate.finished(run("suspect"), RunOutcome.FAILED, 0)).containsExactly(start("later"));
 	}
 
 	@Test
 	void shouldRunSuspectAtOnceOnIdleEngine() {
-		assertThat(gate(4, 0).build().offerOnline(offer("suspect").asSuspect())).containsExactly(start("suspect"));
+		assertThat(gate(4, 0).build().offerOnline(offer("suspect").asExclusive())).containsExactly(start("suspect"));
 	}
 
 	/**
@@ -186,31 +189,31 @@
 		gate.offerOnline(offer("running"));
 		gate.offerBatch(offer("batch"));
 		gate.offerBatch(offer("waiting"));
-		assertThat(gate.leave()).containsExactly(refuse("waiting", GateAction.Reason.LEAVING), cancel("batch"));
-		assertThat(gate.offerOnline(offer("new"))).containsExactly(refuse("new", GateAction.Reason.LEAVING));
+		assertThat(gate.drain()).containsExactly(refuse("waiting", GateAction.Reason.DRAINING), cancel("batch"));
+		assertThat(gate.offerOnline(offer("new"))).containsExactly(refuse("new", GateAction.Reason.DRAINING));
 		gate.preempted(run("batch"));
 		assertThat(gate.idle()).isFalse();
-		gate.finished(run("running"), Ending.ANSWERED, 1);
+		gate.finished(run("running"), RunOutcome.ANSWERED, 1);
 		assertThat(gate.idle()).isTrue();
 	}
 
 	@ParameterizedTest
 	@EnumSource(GatePolicy.class)
 	void shouldStartFirstRequestByEveryPolicy(GatePolicy policy) {
-		EngineGate gate = policy.gate(this.time, ConcurrencyLimit.fixed(4), 1, 8);
+		EngineGate gate = policy.createGate(this.time, ConcurrencyLimit.fixed(4), 1, 8);
 		assertThat(gate.offerOnline(offer("a"))).containsExactly(start("a"));
 		assertThat(gate.offerBatch(offer("b"))).containsExactly(start("b"));
-		gate.finished(run("a"), Ending.ANSWERED, 1);
-		gate.finished(run("b"), Ending.ANSWERED, 1);
+		gate.finished(run("a"), RunOutcome.ANSWERED, 1);
+		gate.finished(run("b"), RunOutcome.ANSWERED, 1);
 		assertThat(gate.idle()).isTrue();
 	}
 
 	@Test
 	void shouldNotPreemptInArrivalOrder() {
-		EngineGate gate = GatePolicy.parse("arrival-order").gate(this.time, ConcurrencyLimit.fixed(1), 0, 2);
+		EngineGate gate = GatePolicy.parse("arrival-order").createGate(this.time, ConcurrencyLimit.fixed(1), 0, 2);
 		gate.offerBatch(offer("b0"));
 		gate.offerBatch(offer("b1"));
-		assertThat(gate.offerBatch(offer("b2"))).containsExactly(refuse("b2", GateAction.Reason.FULL));
+		assertThat(gate.offerBatch(offer("b2"))).containsExactly(refuse("b2", GateAction.Reason.QUEUE_FULL));
 		assertThat(gate.offerOnline(offer("o"))).containsExactly(start("o"));
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/claim/ClaimLogTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/claim/ClaimLogTests.java
@@ -62,7 +62,7 @@
 		ClaimLog log = open(this.faulty, "a", 1);
 		ClaimAnswer answer = new ClaimAnswer(200, "text/plain", "booked");
 		log.claim(KEY, "f").join();
-		log.finished(KEY, answer);
+		log.keepAnswer(KEY, answer);
 		assertThat(log.claim(KEY, "f").join()).hasValue(answer);
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/lease/LeaseKeeperTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/lease/LeaseKeeperTests.java
@@ -39,8 +39,8 @@
 	}
 
 	private Optional<Lease> lookAndTake(LeaseKeeper keeper) {
-		keeper.look().join();
-		return keeper.take().join();
+		keeper.refresh().join();
+		return keeper.acquire().join();
 	}
 
 	private Lease record() {
@@ -56,15 +56,15 @@
 
 	@Test
 	void shouldNotTakeWithoutHavingLooked() {
-		assertThat(this.first.take().join()).isEmpty();
+		assertThat(this.first.acquire().join()).isEmpty();
 	}
 
 	@Test
 	void shouldLetOneOfTwoTakersWin() {
-		this.first.look().join();
-		this.second.look().join();
-		assertThat(this.first.take().join()).isPresent();
-		assertThat(this.second.take().join()).isEmpty();
+		this.first.refresh().join();
+		this.second.refresh().join();
+		assertThat(this.first.acquire().join()).isPresent();
+		assertThat(this.second.acquire().join()).isEmpty();
 		assertThat(this.second.held()).isEmpty();
 	}
 
@@ -73,9 +73,9 @@
 		lookAndTake(this.first);
 		for (int round = 0; round < 10; round++) {
 			this.time.advance(PERIOD.dividedBy(3));
-			this.second.look().join();
+			this.second.refresh().join();
 			assertThat(this.first.renew().join()).isTrue();
-			assertThat(this.second.take().join()).isEmpty();
+			assertThat(this.second.acquire().join()).isEmpty();
 		}
 		assertThat(this.first.held()).hasValue(new Lease(NAME, 1, "entry-a", PERIOD));
 	}
@@ -86,7 +86,7 @@
 	@Test
 	void shouldTakeOverAfterWholePeriodWithoutChange() {
 		lookAndTake(this.first);
-		this.second.look().join();
+		this.second.refresh().join();
 		this.time.advance(PERIOD.minus(MOMENT));
 		assertThat(lookAndTake(this.second)).isEmpty();
 		this.time.advance(MOMENT);
@@ -99,14 +99,14 @@
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1_000, 3_000, 5_000, 5_999, 9_000 })
 	void shouldStopBelievingBeforeTakerMayAct(long delayMillis) {
-		this.first.look().join();
+		this.first.refresh().join();
 		this.faulty.plan(Fault.DELAYED);
-		this.first.take();
+		this.first.acquire();
 		this.faulty.plan(Fault.NONE);
 		this.time.advance(Duration.ofMillis(delayMillis));
 		this.faulty.deliver();
-		this.second.look().join();
-		while (!this.second.free()) {
+		this.second.refresh().join();
+		while (!this.second.available()) {
 			this.time.advance(Duration.ofMillis(100));
 		}
 		assertThat(this.first.held()).isEmpty();
@@ -117,9 +117,9 @@
 	// not find out, nobody would work on the shard for a whole period.
 	@Test
 	void shouldFindOwnWriteAfterLostAnswer() {
-		this.first.look().join();
+		this.first.refresh().join();
 		this.faulty.plan((call) -> call.writes() ? Fault.ANSWER_LOST : Fault.NONE);
-		assertThat(this.first.take().join()).isPresent();
+		assertThat(this.first.acquire().join()).isPresent();
 		assertThat(this.first.renew().join()).isTrue();
 		assertThat(record().epoch()).isEqualTo(1);
 	}
@@ -130,9 +130,9 @@
 	// sent.
 	@Test
 	void shouldTakeOwnLeftOverWithHigherEpoch() {
-		this.first.look().join();
+		this.first.refresh().join();
 		this.faulty.plan((call) -> call.writes() ? Fault.ANSWER_LOST : Fault.REFUSED);
-		assertThat(this.first.take().isCompletedExceptionally()).isTrue();
+		assertThat(this.first.acquire().isCompletedExceptionally()).isTrue();
 		assertThat(this.first.held()).isEmpty();
 		this.faulty.plan(Fault.NONE);
 		assertThat(lookAndTake(this.first)).hasValue(new Lease(NAME, 2, "entry-a", PERIOD));
@@ -145,7 +145,7 @@
 	@Test
 	void shouldFindItselfDeposedAfterPause() {
 		lookAndTake(this.first);
-		this.second.look().join();
+		this.second.refresh().join();
 		this.time.advance(PERIOD);
 		assertThat(lookAndTake(this.second)).isPresent();
 		assertThat(this.first.held()).isEmpty();
@@ -189,7 +189,7 @@
 	@Test
 	void shouldStopBelievingAlsoWhenReleaseFails() {
 		lookAndTake(this.first);
-		this.second.look().join();
+		this.second.refresh().join();
 		this.faulty.plan(Fault.REFUSED);
 		this.first.release().join();
 		this.faulty.plan(Fault.NONE);
--- a/modules/core/src/test/java/org/ragworthook/core/lease/ShardMapTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/lease/ShardLeasesTests.java
@@ -25,7 +25,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class ShardMapTests {
+class ShardLeasesTests {
 
 	private static final Duration PERIOD = Duration.ofSeconds(6);
 
@@ -122,7 +122,7 @@
 		start("b", 12);
 		this.time.advance(Duration.ofSeconds(10));
 		this.listed.remove("b");
-		this.entries.get("b").map.leave().join();
+		this.entries.get("b").map.releaseAll().join();
 		this.time.advance(Duration.ofSeconds(1));
 		assertThat(this.entries.get("a").map.held()).hasSize(12);
 	}
@@ -170,17 +170,17 @@
 
 	private final class Entry implements ShardListener {
 
-		private final FaultyObjectStore faulty = FaultyObjectStore.over(ShardMapTests.this.store);
+		private final FaultyObjectStore faulty = FaultyObjectStore.over(ShardLeasesTests.this.store);
 
 		private final List<String> events = new ArrayList<>();
 
-		private final ShardMap map;
+		private final ShardLeases map;
 
 		Entry(String name, int shards) {
-			this.map = ShardMap.builder(this.faulty, Stamps.of(name))
-				.time(ShardMapTests.this.time, ShardMapTests.this.time)
+			this.map = ShardLeases.builder(this.faulty, Stamps.of(name))
+				.time(ShardLeasesTests.this.time, ShardLeasesTests.this.time)
 				.listener(this)
-				.entries(() -> Set.copyOf(ShardMapTests.this.listed))
+				.entries(() -> Set.copyOf(ShardLeasesTests.this.listed))
 				.shards("shard", shards)
 				.period(PERIOD)
 				.build();
@@ -191,7 +191,7 @@
 		}
 
 		@Override
-		public void taken(int shard, Lease lease) {
+		public void acquired(int shard, Lease lease) {
 			this.events.add("taken " + shard + "@" + lease.epoch());
 		}
 
@@ -201,7 +201,7 @@
 		}
 
 		@Override
-		public CompletableFuture<Void> leaving(int shard, Lease lease) {
+		public CompletableFuture<Void> releasing(int shard, Lease lease) {
 			this.events.add("leaving " + shard + "@" + lease.epoch());
 			return CompletableFuture.completedFuture(null);
 		}
--- a/modules/core/src/test/java/org/ragworthook/core/membership/MembershipTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/membership/MembershipTests.java
@@ -33,13 +33,13 @@
 	}
 
 	private List<Instance> wanted() {
-		return this.membership.members().wanted();
+		return this.membership.members().linkTargets();
 	}
 
 	@Test
 	void shouldRouteOnlyToLinked() {
-		this.membership.listed(List.of(this.first, this.second));
-		this.membership.linked(this.first, "run-1", false);
+		this.membership.instancesListed(List.of(this.first, this.second));
+		this.membership.linkOpened(this.first, "run-1", false);
 		assertThat(routable()).containsExactly(this.first);
 		assertThat(wanted()).containsExactly(this.first, this.second);
 	}
@@ -51,16 +51,16 @@
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 1, 5 })
 	void shouldNotReadmitRunThatSaidItLeaves(int flaps) {
-		this.membership.listed(List.of(this.first));
-		this.membership.linked(this.first, "run-1", false);
-		this.membership.leaving(this.first.link(), "run-1");
+		this.membership.instancesListed(List.of(this.first));
+		this.membership.linkOpened(this.first, "run-1", false);
+		this.membership.drainAnnounced(this.first.link(), "run-1");
 		assertThat(routable()).isEmpty();
 		for (int i = 0; i < flaps; i++) {
-			this.membership.listed(List.of());
-			this.membership.listed(List.of(this.first));
+			this.membership.instancesListed(List.of());
+			this.membership.instancesListed(List.of(this.first));
 			assertThat(routable()).isEmpty();
-			this.membership.lost(this.first.link());
-			this.membership.linked(this.first, "run-1", false);
+			this.membership.linkLost(this.first.link());
+			this.membership.linkOpened(this.first, "run-1", false);
 			assertThat(routable()).isEmpty();
 		}
 	}
@@ -71,9 +71,9 @@
 	 */
 	@Test
 	void shouldKeepLinkedInstanceThatListLost() {
-		this.membership.listed(List.of(this.first));
-		this.membership.linked(this.first, "run-1", false);
-		this.membership.listed(List.of());
+		this.membership.instancesListed(List.of(this.first));
+		this.membership.linkOpened(this.first, "run-1", false);
+		this.membership.instancesListed(List.of());
 		assertThat(routable()).containsExactly(this.first);
 		assertThat(wanted()).containsExactly(this.first);
 	}
@@ -83,35 +83,35 @@
 	 */
 	@Test
 	void shouldNotRouteOverLostLink() {
-		this.membership.listed(List.of(this.first));
-		this.membership.linked(this.first, "run-1", false);
-		this.membership.lost(this.first.link());
+		this.membership.instancesListed(List.of(this.first));
+		this.membership.linkOpened(this.first, "run-1", false);
+		this.membership.linkLost(this.first.link());
 		assertThat(routable()).isEmpty();
 		assertThat(wanted()).containsExactly(this.first);
-		this.membership.linked(this.first, "run-1", false);
+		this.membership.linkOpened(this.first, "run-1", false);
 		assertThat(routable()).containsExactly(this.first);
 	}
 
 	@Test
 	void shouldForgetLostInstanceOnceUnlisted() {
-		this.membership.listed(List.of(this.first));
-		this.membership.linked(this.first, "run-1", false);
-		this.membership.lost(this.first.link());
-		this.membership.listed(List.of());
+		this.membership.instancesListed(List.of(this.first));
+		this.membership.linkOpened(this.first, "run-1", false);
+		this.membership.linkLost(this.first.link());
+		this.membership.instancesListed(List.of());
 		assertThat(wanted()).isEmpty();
 	}
 
 	@Test
 	void shouldNotRouteToInstanceThatListShowsAsLeaving() {
-		this.membership.linked(this.first, "run-1", false);
-		this.membership.listed(List.of(instance("first", 7_001, true)));
+		this.membership.linkOpened(this.first, "run-1", false);
+		this.membership.instancesListed(List.of(instance("first", 7_001, true)));
 		assertThat(routable()).isEmpty();
 	}
 
 	@Test
 	void shouldNotRouteToRunThatGreetsAsLeaving() {
-		this.membership.listed(List.of(this.first));
-		this.membership.linked(this.first, "run-1", true);
+		this.membership.instancesListed(List.of(this.first));
+		this.membership.linkOpened(this.first, "run-1", true);
 		assertThat(routable()).isEmpty();
 	}
 
@@ -121,12 +121,12 @@
 	 */
 	@Test
 	void shouldRouteToNextRunAtSameAddress() {
-		this.membership.listed(List.of(this.first));
-		this.membership.linked(this.first, "run-1", false);
-		this.membership.leaving(this.first.link(), "run-1");
-		this.membership.lost(this.first.link());
+		this.membership.instancesListed(List.of(this.first));
+		this.membership.linkOpened(this.first, "run-1", false);
+		this.membership.drainAnnounced(this.first.link(), "run-1");
+		this.membership.linkLost(this.first.link());
 		assertThat(wanted()).containsExactly(this.first);
-		this.membership.linked(this.first, "run-2", false);
+		this.membership.linkOpened(this.first, "run-2", false);
 		assertThat(routable()).containsExactly(this.first);
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/order/OrderFenceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/order/OrderFenceTests.java
@@ -57,8 +57,8 @@
 		takeOver();
 		assertThat(refusal(fence.admit(0, 5))).isEmpty();
 		assertThat(refusal(fence.admit(0, 4))).hasValue(ErrorCode.ORDER_FENCED);
-		assertThat(fence.current(0, 4)).isFalse();
-		assertThat(fence.current(0, 5)).isTrue();
+		assertThat(fence.isCurrent(0, 4)).isFalse();
+		assertThat(fence.isCurrent(0, 5)).isTrue();
 	}
 
 	// The sidecar is restarted between the two leaders' orders and remembers nothing. The
--- a/modules/core/src/test/java/org/ragworthook/core/quarantine/QuarantineTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/quarantine/QuarantineTests.java
@@ -35,17 +35,17 @@
 	@ValueSource(ints = { 2, 8, 40 })
 	void shouldConvictOnlyCulprit(int together) {
 		for (int i = 0; i < together; i++) {
-			this.quarantine.crashed("request-" + i, together);
+			this.quarantine.recordCrash("request-" + i, together);
 		}
 		for (int i = 1; i < together; i++) {
-			assertThat(this.quarantine.standing("request-" + i)).isEqualTo(Standing.SUSPECT);
-			this.quarantine.answered("request-" + i);
-			assertThat(this.quarantine.standing("request-" + i)).isEqualTo(Standing.CLEAR);
+			assertThat(this.quarantine.state("request-" + i)).isEqualTo(QuarantineState.SUSPECT);
+			this.quarantine.recordAnswer("request-" + i);
+			assertThat(this.quarantine.state("request-" + i)).isEqualTo(QuarantineState.CLEAR);
 		}
-		this.quarantine.crashed("request-0", 1);
-		assertThat(this.quarantine.standing("request-0")).isEqualTo(Standing.SUSPECT);
-		this.quarantine.crashed("request-0", 1);
-		assertThat(this.quarantine.standing("request-0")).isEqualTo(Standing.CONVICTED);
+		this.quarantine.recordCrash("request-0", 1);
+		assertThat(this.quarantine.state("request-0")).isEqualTo(QuarantineState.SUSPECT);
+		this.quarantine.recordCrash("request-0", 1);
+		assertThat(this.quarantine.state("request-0")).isEqualTo(QuarantineState.QUARANTINED);
 	}
 
 	/**
@@ -55,20 +55,20 @@
 	@Test
 	void shouldNeverConvictForCrashesInCompany() {
 		for (int i = 0; i < 50; i++) {
-			assertThat(this.quarantine.crashed("unlucky", 2 + i)).isEqualTo(Optional.empty());
+			assertThat(this.quarantine.recordCrash("unlucky", 2 + i)).isEqualTo(Optional.empty());
 		}
-		assertThat(this.quarantine.standing("unlucky")).isEqualTo(Standing.SUSPECT);
+		assertThat(this.quarantine.state("unlucky")).isEqualTo(QuarantineState.SUSPECT);
 	}
 
 	@Test
 	void shouldLetGoAfterItsTime() {
-		this.quarantine.crashed("bad", 1);
-		this.quarantine.crashed("bad", 1);
-		assertThat(this.quarantine.left("bad")).isEqualTo(Optional.of(Duration.ofMinutes(10)));
+		this.quarantine.recordCrash("bad", 1);
+		this.quarantine.recordCrash("bad", 1);
+		assertThat(this.quarantine.remaining("bad")).isEqualTo(Optional.of(Duration.ofMinutes(10)));
 		this.now = this.now.plus(Duration.ofMinutes(10));
-		assertThat(this.quarantine.standing("bad")).isEqualTo(Standing.CLEAR);
-		this.quarantine.crashed("bad", 1);
-		assertThat(this.quarantine.standing("bad")).isEqualTo(Standing.SUSPECT);
+		assertThat(this.quarantine.state("bad")).isEqualTo(QuarantineState.CLEAR);
+		this.quarantine.recordCrash("bad", 1);
+		assertThat(this.quarantine.state("bad")).isEqualTo(QuarantineState.SUSPECT);
 	}
 
 	/**
@@ -78,12 +78,12 @@
 	@Test
 	void shouldRefuseWhatAnotherEntryConvicted() {
 		Quarantine other = quarantine(100);
-		this.quarantine.crashed("bad", 1);
-		Conviction conviction = this.quarantine.crashed("bad", 1).orElseThrow();
+		this.quarantine.recordCrash("bad", 1);
+		CrashRecord conviction = this.quarantine.recordCrash("bad", 1).orElseThrow();
 		assertThat(other.merge(conviction)).isTrue();
 		assertThat(other.merge(conviction)).isFalse();
-		assertThat(other.standing("bad")).isEqualTo(Standing.CONVICTED);
-		assertThat(this.quarantine.convictions()).containsExactly(conviction);
+		assertThat(other.state("bad")).isEqualTo(QuarantineState.QUARANTINED);
+		assertThat(this.quarantine.quarantined()).containsExactly(conviction);
 	}
 
 	/**
@@ -95,9 +95,9 @@
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
 	void shouldMergeToSameInAnyOrder(long seed) {
 		Random random = new Random(seed);
-		List<Conviction> news = new ArrayList<>();
+		List<CrashRecord> news = new ArrayList<>();
 		for (int i = 0; i < 60; i++) {
-			news.add(new Conviction("request-" + random.nextInt(9), 1 + random.nextInt(3),
+			news.add(new CrashRecord("request-" + random.nextInt(9), 1 + random.nextInt(3),
 					this.now.toEpochMilli() + 1 + random.nextInt(9_000)));
 		}
 		Quarantine one = quarantine(100);
@@ -106,7 +106,7 @@
 		Quarantine two = quarantine(100);
 		news.forEach(two::merge);
 		news.forEach(two::merge);
-		assertThat(two.convictions()).containsExactlyElementsIn(one.convictions());
+		assertThat(two.quarantined()).containsExactlyElementsIn(one.quarantined());
 	}
 
 	/**
@@ -116,13 +116,13 @@
 	 */
 	@Test
 	void shouldStayBounded() {
-		this.quarantine.crashed("bad", 1);
-		this.quarantine.crashed("bad", 1);
+		this.quarantine.recordCrash("bad", 1);
+		this.quarantine.recordCrash("bad", 1);
 		for (int i = 0; i < 5_000; i++) {
-			this.quarantine.crashed("request-" + i, 2);
+			this.quarantine.recordCrash("request-" + i, 2);
 			assertThat(this.quarantine.size()).isAtMost(100);
 		}
-		assertThat(this.quarantine.standing("bad")).isEqualTo(Standing.CONVICTED);
+		assertThat(this.quarantine.state("bad")).isEqualTo(QuarantineState.QUARANTINED);
 	}
 
 }
--- a/modules/core/src/test/java/org/ragworthook/core/reconcile/FakeFleet.java
+++ b/modules/core/src/test/java/org/ragworthook/core/reconcile/FakeFleet.java
@@ -19,7 +19,7 @@
 
 	private final Map<String, UpstreamView> upstreams = new TreeMap<>();
 
-	private final StepMemory memory = StepMemory.empty();
+	private final StepTracker memory = StepTracker.empty();
 
 	private final List<Step> carriedOut = new ArrayList<>();
 
@@ -44,7 +44,7 @@
 		this.memory.running()
 			.stream()
 			.filter((step) -> step.failureDomain().equals(domain))
-			.forEach((step) -> this.memory.lost(step.upstream()));
+			.forEach((step) -> this.memory.upstreamLost(step.upstream()));
 	}
 
 	List<Step> plan(Reconciler reconciler, Contract contract) {
@@ -53,7 +53,7 @@
 
 	List<Step> round(Reconciler reconciler, Contract contract, Duration length) {
 		List<Step> steps = plan(reconciler, contract);
-		steps.forEach((step) -> this.memory.begun(step, this.now));
+		steps.forEach((step) -> this.memory.started(step, this.now));
 		this.now += length.toNanos();
 		steps.forEach(this::end);
 		return steps;
@@ -88,7 +88,7 @@
 			loaded.remove(step.subject());
 		}
 		this.upstreams.put(view.id(), new UpstreamView(view.id(), view.service(), view.failureDomain(), loaded));
-		this.memory.done(step);
+		this.memory.succeeded(step);
 		this.carriedOut.add(step);
 	}
 
@@ -105,7 +105,7 @@
 		return this.carriedOut;
 	}
 
-	StepMemory memory() {
+	StepTracker memory() {
 		return this.memory;
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/reconcile/ReconcilerTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/reconcile/ReconcilerTests.java
@@ -79,8 +79,8 @@
 			fleet.round(this.reconciler, next, ROUND);
 		}
 		assertThat(fleet.holders("m@1")).containsExactly("a", 5, "b", 5);
-		assertThat(fleet.memory().failures().stream().map(Failure::upstream).toList()).contains("");
-		assertThat(fleet.memory().failures().stream().map(Failure::detail).toList()).contains("out of memory");
+		assertThat(fleet.memory().failures().stream().map(StepFailure::upstream).toList()).contains("");
+		assertThat(fleet.memory().failures().stream().map(StepFailure::detail).toList()).contains("out of memory");
 	}
 
 	// A single upstream cannot load the model, ever. It must be tried less and less often
@@ -137,7 +137,7 @@
 		fleet.settle(demanding, contract("1", 2, 8, 2), 50);
 		assertThat(fleet.holders("m@1")).containsExactly("a", 4, "b", 4);
 		fleet.settle(this.reconciler, contract("1", 2, 8, 2), 50);
-		int threshold = StepLimits.of(WeightStore.standard()).threshold();
+		int threshold = StepLimits.of(WeightStore.standard()).rebalanceThreshold();
 		assertThat(fleet.holders("m@1").values().stream().mapToInt(Integer::intValue).sum()).isEqualTo(2 + threshold);
 	}
 
@@ -147,9 +147,9 @@
 				new UpstreamView("u2", "desk", "b", Set.of("m@1")), new UpstreamView("u3", "desk", "b", Set.of()));
 		Model model = contract("1", 1, 9, 1).services().get(0).models().get(0);
 		assertThat(Demand.of(observed, Map.of()).applyAsInt(model)).isEqualTo(2);
-		Map<String, Usage> calm = Map.of("u1", new Usage(1, 10), "u2", new Usage(0, 10));
+		Map<String, UpstreamUsage> calm = Map.of("u1", new UpstreamUsage(1, 10), "u2", new UpstreamUsage(0, 10));
 		assertThat(Demand.of(observed, calm).applyAsInt(model)).isEqualTo(2);
-		Map<String, Usage> full = Map.of("u1", new Usage(20, 10), "u2", new Usage(8, 10));
+		Map<String, UpstreamUsage> full = Map.of("u1", new UpstreamUsage(20, 10), "u2", new UpstreamUsage(8, 10));
 		assertThat(Demand.of(observed, full).applyAsInt(model)).isEqualTo(4);
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/retry/RetryBudgetConcurrencyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/retry/RetryBudgetConcurrencyTests.java
@@ -14,13 +14,13 @@
 	private final RetryBudget budget = RetryBudget.of(0.5, 1);
 
 	@Operation
-	public void earn() {
-		this.budget.earn();
+	public void deposit() {
+		this.budget.deposit();
 	}
 
 	@Operation
-	public boolean spend() {
-		return this.budget.spend();
+	public boolean tryWithdraw() {
+		return this.budget.tryWithdraw();
 	}
 
 	@Test
--- a/modules/core/src/test/java/org/ragworthook/core/retry/RetryPolicyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/retry/RetryPolicyTests.java
@@ -23,7 +23,7 @@
 
 	private final Backoff backoff = Backoff.of(Duration.ofMillis(5), Duration.ofMillis(200), () -> this.random);
 
-	private final RetryPolicy policy = RetryPolicy.of(RetryBudget.usual(), this.backoff, 4);
+	private final RetryPolicy policy = RetryPolicy.of(RetryBudget.defaults(), this.backoff, 4);
 
 	private static String kind(RetryDecision decision) {
 		return (decision instanceof RetryDecision.GiveUp giveUp) ? giveUp.code().name()
@@ -37,22 +37,22 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "ANSWERED, true, false, Deliver", "ANSWERED, false, true, Deliver", "REJECTED, true, false, Retry",
-			"REJECTED, false, false, Deliver", "HANDED_BACK, false, false, Retry", "NOT_PASSED_ON, true, false, Retry",
-			"NOT_PASSED_ON, false, false, Retry", "BROKEN, true, false, Retry", "BROKEN, true, true, Resume",
-			"BROKEN, false, false, REQUEST_OUTCOME_UNKNOWN", "BROKEN, false, true, REQUEST_OUTCOME_UNKNOWN",
+			"REJECTED, false, false, Deliver", "RETURNED, false, false, Retry", "NOT_PASSED_ON, true, false, Retry",
+			"NOT_PASSED_ON, false, false, Retry", "INCOMPLETE, true, false, Retry", "INCOMPLETE, true, true, Resume",
+			"INCOMPLETE, false, false, REQUEST_OUTCOME_UNKNOWN", "INCOMPLETE, false, true, REQUEST_OUTCOME_UNKNOWN",
 			"CRASHED, true, false, Retry", "CRASHED, true, true, Resume",
 			"CRASHED, false, false, REQUEST_OUTCOME_UNKNOWN", "LINK_LOST, true, false, Retry",
 			"LINK_LOST, true, true, Resume", "LINK_LOST, false, false, REQUEST_OUTCOME_UNKNOWN",
 			"CANCELLED, true, false, REQUEST_FAILED", "CANCELLED, false, false, REQUEST_OUTCOME_UNKNOWN" })
-	void shouldDecideByOutcome(AttemptOutcome outcome, boolean repeatable, boolean sent, String expected) {
-		RequestState state = this.policy.begin(repeatable, true).after(outcome, sent);
+	void shouldDecideByOutcome(AttemptOutcome outcome, boolean idempotent, boolean sent, String expected) {
+		RequestState state = this.policy.begin(idempotent, true).after(outcome, sent);
 		assertThat(kind(this.policy.decide(state, outcome, Deadline.none(this.time)))).isEqualTo(expected);
 	}
 
 	@Test
 	void shouldNotResumeWhatCannotGoOn() {
-		RequestState state = this.policy.begin(true, false).after(AttemptOutcome.BROKEN, true);
-		assertThat(kind(this.policy.decide(state, AttemptOutcome.BROKEN, Deadline.none(this.time))))
+		RequestState state = this.policy.begin(true, false).after(AttemptOutcome.INCOMPLETE, true);
+		assertThat(kind(this.policy.decide(state, AttemptOutcome.INCOMPLETE, Deadline.none(this.time))))
 			.isEqualTo("REQUEST_FAILED");
 	}
 
@@ -62,19 +62,19 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "true, REQUEST_FAILED", "false, REQUEST_OUTCOME_UNKNOWN" })
-	void shouldRememberThatItWasPassedOn(boolean repeatable, String expected) {
-		RequestState state = this.policy.begin(repeatable, true)
-			.after(AttemptOutcome.BROKEN, false)
+	void shouldRememberThatItWasPassedOn(boolean idempotent, String expected) {
+		RequestState state = this.policy.begin(idempotent, true)
+			.after(AttemptOutcome.INCOMPLETE, false)
 			.after(AttemptOutcome.NOT_PASSED_ON, false);
 		assertThat(kind(this.policy.noUpstream(state))).isEqualTo(expected);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "NOT_PASSED_ON, true, REQUEST_NOT_RUN_DEADLINE", "NOT_PASSED_ON, false, REQUEST_NOT_RUN_DEADLINE",
-			"BROKEN, true, REQUEST_DEADLINE_PASSED", "LINK_LOST, false, REQUEST_OUTCOME_UNKNOWN" })
-	void shouldGiveUpAtDeadline(AttemptOutcome outcome, boolean repeatable, String expected) {
+			"INCOMPLETE, true, REQUEST_DEADLINE_PASSED", "LINK_LOST, false, REQUEST_OUTCOME_UNKNOWN" })
+	void shouldGiveUpAtDeadline(AttemptOutcome outcome, boolean idempotent, String expected) {
 		Deadline deadline = Deadline.after(this.time, Duration.ofSeconds(1));
-		RequestState state = this.policy.begin(repeatable, true).after(outcome, false);
+		RequestState state = this.policy.begin(idempotent, true).after(outcome, false);
 		this.time.advance(Duration.ofSeconds(1));
 		assertThat(kind(this.policy.decide(state, outcome, deadline))).isEqualTo(expected);
 	}
@@ -96,7 +96,7 @@
 	 * load that keeps the upstreams down.
 	 */
 	@ParameterizedTest
-	@EnumSource(names = { "REJECTED", "REFUSED", "NOT_PASSED_ON", "BROKEN", "CRASHED" })
+	@EnumSource(names = { "REJECTED", "REFUSED", "NOT_PASSED_ON", "INCOMPLETE", "CRASHED" })
 	void shouldBoundAmplificationInFullOutage(AttemptOutcome outcome) {
 		int requests = 5_000;
 		int attempts = 0;
@@ -118,7 +118,7 @@
 	 * requests at once, more than the budget holds. Each must still be tried again.
 	 */
 	@ParameterizedTest
-	@EnumSource(names = { "LINK_LOST", "HANDED_BACK" })
+	@EnumSource(names = { "LINK_LOST", "RETURNED" })
 	void shouldRetryBeyondBudgetWhatOneLossBreaks(AttemptOutcome outcome) {
 		for (int i = 0; i < 500; i++) {
 			RequestState state = this.policy.begin(true, true).after(outcome, false);
@@ -137,11 +137,11 @@
 
 	@Test
 	void shouldTellTimeLeftForLink() {
-		assertThat(Deadline.none(this.time).millis()).isEqualTo(0);
+		assertThat(Deadline.none(this.time).remainingMillis()).isEqualTo(0);
 		Deadline deadline = Deadline.after(this.time, Duration.ofMillis(70));
-		assertThat(deadline.millis()).isEqualTo(70);
+		assertThat(deadline.remainingMillis()).isEqualTo(70);
 		this.time.advance(Duration.ofMillis(100));
-		assertThat(deadline.millis()).isEqualTo(1);
+		assertThat(deadline.remainingMillis()).isEqualTo(1);
 		assertThat(deadline.passed()).isTrue();
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/routing/RouterTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/routing/RouterTests.java
@@ -62,11 +62,11 @@
 	void shouldCorrectReportedLoadByOwnCount() {
 		List<Upstream> upstreams = Fleet.upstreams(2, 1);
 		update(upstreams);
-		upstreams.get(0).reported(9, 16);
+		upstreams.get(0).loadReported(9, 16);
 		for (int i = 0; i < 9; i++) {
 			assertThat(choose(PLAIN).upstream()).isEqualTo(upstreams.get(1));
 		}
-		upstreams.get(1).reported(9, 16);
+		upstreams.get(1).loadReported(9, 16);
 		assertThat(upstreams.get(1).load()).isEqualTo(9);
 	}
 
@@ -74,7 +74,7 @@
 	void shouldStayInOwnDomainUntilItIsShort() {
 		List<Upstream> upstreams = Fleet.upstreams(4, 2);
 		update(upstreams);
-		upstreams.forEach((upstream) -> upstream.reported(0, 3));
+		upstreams.forEach((upstream) -> upstream.loadReported(0, 3));
 		for (int i = 0; i < 6; i++) {
 			Choice choice = choose(PLAIN);
 			assertThat(choice.upstream().instance().failureDomain()).isEqualTo(Fleet.domain(0));
@@ -89,10 +89,10 @@
 		Upstream first = choose(request).upstream();
 		assertThat(first.outstanding()).isEqualTo(1);
 		Choice other = choose(PLAIN);
-		other.release(Choice.Fared.WELL);
+		other.release(Choice.Outcome.SUCCESS);
 		for (int i = 0; i < 10; i++) {
 			Choice choice = choose(RouteRequest.of("", OptionalLong.of(1_000 + i)));
-			choice.release(Choice.Fared.WELL);
+			choice.release(Choice.Outcome.SUCCESS);
 		}
 		assertThat(first.outstanding()).isEqualTo(1);
 	}
@@ -128,7 +128,7 @@
 		for (int i = 0; i < 1_000; i++) {
 			Choice choice = choose(RouteRequest.of("", OptionalLong.of(Hashing.of("prompt " + i))));
 			places.put(i, choice.upstream());
-			choice.release(Choice.Fared.WELL);
+			choice.release(Choice.Outcome.SUCCESS);
 		}
 		return places;
 	}
@@ -145,13 +145,13 @@
 		Upstream ill = upstreams.get(1);
 		for (int i = 0; i < count * 50; i++) {
 			Choice choice = choose(PLAIN);
-			choice.release((choice.upstream() == ill) ? Choice.Fared.BADLY : Choice.Fared.WELL);
+			choice.release((choice.upstream() == ill) ? Choice.Outcome.FAILURE : Choice.Outcome.SUCCESS);
 		}
 		assertThat(ill.detector().share(this.time.nanos())).isEqualTo(0.0);
 		this.time.advance(Duration.ofMillis(1_001));
 		assertThat(ill.detector().share(this.time.nanos())).isWithin(0.01).of(0.1);
 		this.time.advance(Duration.ofSeconds(5));
-		assertThat(ill.detector().share(this.time.nanos())).isEqualTo(OutlierDetector.WHOLE);
+		assertThat(ill.detector().share(this.time.nanos())).isEqualTo(OutlierDetector.FULL_SHARE);
 	}
 
 	/**
@@ -162,7 +162,7 @@
 	void shouldStillChooseWhenAllAreEjected() {
 		update(Fleet.upstreams(5, 1));
 		for (int i = 0; i < 60; i++) {
-			choose(PLAIN).release(Choice.Fared.BADLY);
+			choose(PLAIN).release(Choice.Outcome.FAILURE);
 		}
 		assertThat(this.router.choose(PLAIN).isPresent()).isTrue();
 	}
@@ -183,8 +183,8 @@
 	@Test
 	void shouldChooseOnlyUpstreamsThatHaveTheModel() {
 		List<Upstream> upstreams = Fleet.upstreams(6, 1);
-		upstreams.forEach((upstream) -> upstream.loaded(Set.of("small")));
-		upstreams.get(4).loaded(Set.of("small", "large"));
+		upstreams.forEach((upstream) -> upstream.modelsReported(Set.of("small")));
+		upstreams.get(4).modelsReported(Set.of("small", "large"));
 		update(upstreams);
 		for (int i = 0; i < 20; i++) {
 			assertThat(choose(RouteRequest.of("large", OptionalLong.of(i))).upstream()).isEqualTo(upstreams.get(4));
@@ -199,7 +199,7 @@
 	void shouldLeaveOutUpstreamThatLacksModelForAWhile() {
 		List<Upstream> upstreams = Fleet.upstreams(2, 1);
 		update(upstreams);
-		upstreams.get(0).lacks("large", Duration.ofSeconds(2).toNanos());
+		upstreams.get(0).modelMissing("large", Duration.ofSeconds(2).toNanos());
 		for (int i = 0; i < 20; i++) {
 			assertThat(choose(RouteRequest.of("large", OptionalLong.empty())).upstream()).isEqualTo(upstreams.get(1));
 		}
@@ -213,8 +213,8 @@
 		List<Upstream> upstreams = Fleet.upstreams(1, 1);
 		update(upstreams);
 		Choice choice = choose(PLAIN);
-		choice.release(Choice.Fared.WELL);
-		choice.release(Choice.Fared.WELL);
+		choice.release(Choice.Outcome.SUCCESS);
+		choice.release(Choice.Outcome.SUCCESS);
 		assertThat(upstreams.get(0).outstanding()).isEqualTo(0);
 	}
 
@@ -226,7 +226,7 @@
 		Collections.reverse(upstreams);
 		update(upstreams);
 		assertThat(choice.upstream().outstanding()).isEqualTo(1);
-		choice.release(Choice.Fared.UNKNOWN);
+		choice.release(Choice.Outcome.UNKNOWN);
 		assertThat(choice.upstream().outstanding()).isEqualTo(0);
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/routing/SubsetTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/routing/SubsetSelectorTests.java
@@ -18,13 +18,13 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of {@link Subset}.
+ * Tests of {@link SubsetSelector}.
  */
-class SubsetTests {
+class SubsetSelectorTests {
 
 	private static Map<Instance, Set<Instance>> subsets(List<Instance> entries, List<Instance> sidecars) {
 		Map<Instance, Set<Instance>> subsets = new HashMap<>();
-		entries.forEach((entry) -> subsets.put(entry, Subset.usual().of(entry, entries, sidecars)));
+		entries.forEach((entry) -> subsets.put(entry, SubsetSelector.defaults().of(entry, entries, sidecars)));
 		return subsets;
 	}
 
@@ -66,13 +66,13 @@
 		List<Instance> entries = new ArrayList<>(Fleet.instances(Role.ENTRY, 40, 4));
 		List<Instance> sidecars = new ArrayList<>(Fleet.instances(Role.SIDECAR, 1_375, 4));
 		Instance self = entries.get(0);
-		Set<Instance> before = Subset.usual().of(self, entries, sidecars);
+		Set<Instance> before = SubsetSelector.defaults().of(self, entries, sidecars);
 		Instance goneSidecar = sidecars.remove(8);
 		Set<Instance> withoutSidecar = new HashSet<>(before);
 		withoutSidecar.remove(goneSidecar);
-		assertThat(Subset.usual().of(self, entries, sidecars)).isEqualTo(withoutSidecar);
+		assertThat(SubsetSelector.defaults().of(self, entries, sidecars)).isEqualTo(withoutSidecar);
 		entries.remove(4);
-		Set<Instance> withoutEntry = Subset.usual().of(self, entries, sidecars);
+		Set<Instance> withoutEntry = SubsetSelector.defaults().of(self, entries, sidecars);
 		assertThat(withoutEntry).containsAtLeastElementsIn(withoutSidecar);
 		assertThat(withoutEntry.size() - withoutSidecar.size()).isAtMost(30);
 	}
@@ -81,9 +81,9 @@
 	void shouldNotDependOnOrderOfList() {
 		List<Instance> entries = Fleet.instances(Role.ENTRY, 10, 2);
 		List<Instance> sidecars = new ArrayList<>(Fleet.instances(Role.SIDECAR, 100, 2));
-		Set<Instance> before = Subset.usual().of(entries.get(3), entries, sidecars);
+		Set<Instance> before = SubsetSelector.defaults().of(entries.get(3), entries, sidecars);
 		Collections.reverse(sidecars);
-		assertThat(Subset.usual().of(entries.get(3), entries, sidecars)).isEqualTo(before);
+		assertThat(SubsetSelector.defaults().of(entries.get(3), entries, sidecars)).isEqualTo(before);
 	}
 
 	@Test
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/BatchPart.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/BatchPart.java
@@ -237,7 +237,7 @@
 	// -- shards
 
 	@Override
-	public void taken(int shard, Lease lease) {
+	public void acquired(int shard, Lease lease) {
 		this.sender.fence(shard, lease);
 		LOG.info("lease_taken", "shard", shard, "epoch", lease.epoch());
 	}
@@ -248,7 +248,7 @@
 	}
 
 	@Override
-	public CompletableFuture<Void> leaving(int shard, Lease lease) {
+	public CompletableFuture<Void> releasing(int shard, Lease lease) {
 		LOG.info("lease_released", "shard", shard, "epoch", lease.epoch());
 		return CompletableFuture.completedFuture(null);
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/ItemExchange.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/ItemExchange.java
@@ -96,7 +96,8 @@
 	 */
 	private ItemOutcome answered() {
 		if (this.status == NOT_FOUND && !this.model.isEmpty()) {
-			this.sidecar.upstream().lacks(this.model, this.ticker.nanos() + Upstream.LACKING.toNanos());
+			this.sidecar.upstream()
+				.modelMissing(this.model, this.ticker.nanos() + Upstream.MODEL_MISSING_TTL.toNanos());
 			return new ItemOutcome.NotPassedOn(Duration.ZERO);
 		}
 		return new ItemOutcome.Answered(this.status, this.body.toStringUtf8());
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/ControlPart.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/ControlPart.java
@@ -11,7 +11,7 @@
 import io.vertx.ext.web.Router;
 import org.ragworthook.core.contract.ContractRegister;
 import org.ragworthook.core.contract.InForce;
-import org.ragworthook.core.reconcile.Usage;
+import org.ragworthook.core.reconcile.UpstreamUsage;
 import org.ragworthook.core.store.ConditionalWriter;
 import org.ragworthook.core.store.ObjectStore;
 import org.ragworthook.core.store.Stamps;
@@ -96,7 +96,7 @@
 	 * once the peer links are started.
 	 * @param usage how much of each upstream is used, by the sidecar's instance
 	 */
-	public void start(Supplier<Map<String, Usage>> usage) {
+	public void start(Supplier<Map<String, UpstreamUsage>> usage) {
 		this.peerContract.start();
 		this.reconciler.start(usage);
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/FleetReconciler.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/FleetReconciler.java
@@ -19,17 +19,17 @@
 import org.ragworthook.core.contract.Contract;
 import org.ragworthook.core.contract.InForce;
 import org.ragworthook.core.lease.Lease;
+import org.ragworthook.core.lease.ShardLeases;
 import org.ragworthook.core.lease.ShardListener;
-import org.ragworthook.core.lease.ShardMap;
 import org.ragworthook.core.log.EventLog;
 import org.ragworthook.core.reconcile.Demand;
-import org.ragworthook.core.reconcile.Failure;
 import org.ragworthook.core.reconcile.Reconciler;
 import org.ragworthook.core.reconcile.Step;
+import org.ragworthook.core.reconcile.StepFailure;
 import org.ragworthook.core.reconcile.StepLimits;
-import org.ragworthook.core.reconcile.StepMemory;
+import org.ragworthook.core.reconcile.StepTracker;
+import org.ragworthook.core.reconcile.UpstreamUsage;
 import org.ragworthook.core.reconcile.UpstreamView;
-import org.ragworthook.core.reconcile.Usage;
 import org.ragworthook.core.store.ObjectStore;
 import org.ragworthook.core.store.Stamps;
 import org.ragworthook.core.time.Ticker;
@@ -72,7 +72,7 @@
 
 	private final Executor work;
 
-	private final ShardMap leases;
+	private final ShardLeases leases;
 
 	private final LinkCalls calls;
 
@@ -80,7 +80,7 @@
 
 	private final Map<String, Given> given = new ConcurrentHashMap<>();
 
-	private volatile Supplier<Map<String, Usage>> usage = Map::of;
+	private volatile Supplier<Map<String, UpstreamUsage>> usage = Map::of;
 
 	private volatile Optional<Term> term = Optional.empty();
 
@@ -94,9 +94,9 @@
 		this.ticker = Ticker.system();
 		this.calls = new LinkCalls(timers);
 		String writer = instance + "/" + GROUP;
-		this.leases = ShardMap.builder(store, Stamps.of(writer))
+		this.leases = ShardLeases.builder(store, Stamps.of(writer))
 			.shards(GROUP, 1)
-			.lookEvery(LOOK)
+			.pollInterval(LOOK)
 			.time(this.ticker, timers)
 			.listener(this)
 			.entries(() -> Stream.concat(Stream.of(instance), peers.peers().stream())
@@ -105,7 +105,7 @@
 			.build();
 	}
 
-	void start(Supplier<Map<String, Usage>> reported) {
+	void start(Supplier<Map<String, UpstreamUsage>> reported) {
 		this.usage = Objects.requireNonNull(reported, "reported is null");
 		this.leases.start();
 		round();
@@ -115,7 +115,7 @@
 	 * Returns what fails again and again, if this entry leads.
 	 * @return the failures
 	 */
-	List<Failure> failures() {
+	List<StepFailure> failures() {
 		return this.term.map((current) -> current.memory().failures()).orElse(List.of());
 	}
 
@@ -136,11 +136,11 @@
 	// -- the lease
 
 	@Override
-	public void taken(int shard, Lease lease) {
+	public void acquired(int shard, Lease lease) {
 		LOG.info("reconciler_taken", "epoch", lease.epoch());
 		this.given.clear();
 		this.observed.values().forEach(Observed::forget);
-		this.term = Optional.of(new Term(lease, StepMemory.empty()));
+		this.term = Optional.of(new Term(lease, StepTracker.empty()));
 	}
 
 	@Override
@@ -150,7 +150,7 @@
 	}
 
 	@Override
-	public CompletableFuture<Void> leaving(int shard, Lease lease) {
+	public CompletableFuture<Void> releasing(int shard, Lease lease) {
 		this.term = Optional.empty();
 		return CompletableFuture.completedFuture(null);
 	}
@@ -249,7 +249,7 @@
 			order.setVersion(step.detail());
 		}
 		this.given.put(id, new Given(step, now));
-		current.memory().begun(step, now);
+		current.memory().started(step, now);
 		LOG.info("step", "id", id, "kind", step.kind().verb(), "why", step.priority(), "subject", step.subject(),
 				"upstream", step.upstream());
 		link.get().send(Frame.newBuilder().setOrder(order).build());
@@ -274,7 +274,7 @@
 			if (seen != null) {
 				seen.loaded = Optional.of(Set.copyOf(outcome.getModelsList()));
 			}
-			current.get().memory().done(order.step());
+			current.get().memory().succeeded(order.step());
 		}
 		else {
 			current.get().memory().failed(order.step(), outcome.getDetail(), this.ticker.nanos());
@@ -304,7 +304,7 @@
 		this.calls.closed(link);
 		String upstream = link.remote().instance();
 		this.given.values().removeIf((order) -> order.step().upstream().equals(upstream));
-		this.term.ifPresent((current) -> current.memory().lost(upstream));
+		this.term.ifPresent((current) -> current.memory().upstreamLost(upstream));
 	}
 
 	private static final class Observed {
@@ -328,11 +328,11 @@
 
 		private final Lease lease;
 
-		private final StepMemory memory;
+		private final StepTracker memory;
 
 		private long orders;
 
-		private Term(Lease lease, StepMemory memory) {
+		private Term(Lease lease, StepTracker memory) {
 			this.lease = lease;
 			this.memory = memory;
 		}
@@ -341,7 +341,7 @@
 			return this.lease;
 		}
 
-		private StepMemory memory() {
+		private StepTracker memory() {
 			return this.memory;
 		}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/FleetStatus.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/FleetStatus.java
@@ -17,7 +17,7 @@
 import io.vertx.core.json.JsonObject;
 import org.ragworthook.core.error.ErrorCode;
 import org.ragworthook.core.error.LinkException;
-import org.ragworthook.core.reconcile.Failure;
+import org.ragworthook.core.reconcile.StepFailure;
 import org.ragworthook.core.time.Ticker;
 import org.ragworthook.daemon.peer.PeerLinks;
 import org.ragworthook.wire.message.PeerState;
@@ -39,7 +39,7 @@
 
 	private final Supplier<List<ProcessVersion>> own;
 
-	private final Supplier<List<Failure>> ownFailures;
+	private final Supplier<List<StepFailure>> ownFailures;
 
 	// The highest version that each process has reported. A peer that does not answer in
 	// time knows of sidecars that this entry hears late; left out, it would look as if
@@ -47,7 +47,7 @@
 	// had gone back to an older version.
 	private final Map<String, ProcessVersion> known = new ConcurrentHashMap<>();
 
-	FleetStatus(PeerLinks peers, Supplier<List<ProcessVersion>> own, Supplier<List<Failure>> ownFailures) {
+	FleetStatus(PeerLinks peers, Supplier<List<ProcessVersion>> own, Supplier<List<StepFailure>> ownFailures) {
 		this.peers = Objects.requireNonNull(peers, "peers is null");
 		this.own = Objects.requireNonNull(own, "own is null");
 		this.ownFailures = Objects.requireNonNull(ownFailures, "ownFailures is null");
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/SidecarOrders.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/SidecarOrders.java
@@ -88,7 +88,7 @@
 		}
 		Waiting waiting = this.queue.poll();
 		Order order = waiting.order();
-		if (!this.fence.current(order.getShard(), order.getEpoch())) {
+		if (!this.fence.isCurrent(order.getShard(), order.getEpoch())) {
 			refuse(waiting.link(), order, new OrderException(ErrorCode.ORDER_FENCED, "a newer leader has spoken"));
 			next();
 			return;
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AccountGates.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AccountGates.java
@@ -45,7 +45,8 @@
 	private Entry limited(Entry old, Limits limits, int share) {
 		AccountGate gate = (old != null) ? old.gate() : AccountGate.of(this.ticker);
 		int inFlight = (limits.inFlight() > 0) ? Math.max(1, limits.inFlight() / share) : 0;
-		gate.limit((double) limits.requestsPerSecond() / share, inFlight, (double) limits.tokensPerSecond() / share);
+		gate.setLimits((double) limits.requestsPerSecond() / share, inFlight,
+				(double) limits.tokensPerSecond() / share);
 		return new Entry(gate, limits, share);
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ConvictionSharing.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ConvictionSharing.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-import org.ragworthook.core.quarantine.Conviction;
+import org.ragworthook.core.quarantine.CrashRecord;
 import org.ragworthook.core.quarantine.Quarantine;
 import org.ragworthook.daemon.peer.PeerLinks;
 import org.ragworthook.wire.link.Link;
@@ -42,7 +42,7 @@
 	 */
 	@Override
 	public void opened(Link link) {
-		this.quarantine.convictions().forEach((conviction) -> link.send(frame(conviction)));
+		this.quarantine.quarantined().forEach((conviction) -> link.send(frame(conviction)));
 	}
 
 	@Override
@@ -58,17 +58,17 @@
 		// What is known stays known.
 	}
 
-	private static Frame frame(Conviction conviction) {
+	private static Frame frame(CrashRecord conviction) {
 		return Frame.newBuilder()
 			.setConviction(org.ragworthook.wire.message.Conviction.newBuilder()
 				.setFingerprint(conviction.fingerprint())
 				.setCrashes(conviction.crashes())
-				.setUntilMillis(conviction.untilMillis()))
+				.setUntilMillis(conviction.expiryMillis()))
 			.build();
 	}
 
-	private static Conviction conviction(org.ragworthook.wire.message.Conviction message) {
-		return new Conviction(message.getFingerprint(), message.getCrashes(), message.getUntilMillis());
+	private static CrashRecord conviction(org.ragworthook.wire.message.Conviction message) {
+		return new CrashRecord(message.getFingerprint(), message.getCrashes(), message.getUntilMillis());
 	}
 
 }
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineAttempt.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineAttempt.java
@@ -34,7 +34,7 @@
 		this.run = newRun;
 		if (!this.sidecar.start(Lane.LANE_ONLINE, newRun, this)) {
 			this.exchange.inAttempt(this,
-					() -> end(AttemptOutcome.HANDED_BACK, Choice.Fared.UNKNOWN, "the link was closed"));
+					() -> end(AttemptOutcome.RETURNED, Choice.Outcome.UNKNOWN, "the link was closed"));
 		}
 	}
 
@@ -42,7 +42,7 @@
 	 * Gives the attempt up and frees its slot at the upstream.
 	 */
 	void abandon() {
-		this.choice.release(Choice.Fared.UNKNOWN);
+		this.choice.release(Choice.Outcome.UNKNOWN);
 		this.sidecar.cancel(Lane.LANE_ONLINE, this.run.getRequest());
 	}
 
@@ -52,7 +52,7 @@
 			boolean first = !this.exchange.answer().sent();
 			if (!this.exchange.answer().take(output)) {
 				this.sidecar.cancel(Lane.LANE_ONLINE, this.run.getRequest());
-				end(AttemptOutcome.BROKEN, Choice.Fared.BADLY, "a piece of the answer was lost");
+				end(AttemptOutcome.INCOMPLETE, Choice.Outcome.FAILURE, "a piece of the answer was lost");
 			}
 			else if (this.exchange.answer().stuck()) {
 				this.exchange.callerStuck();
@@ -76,24 +76,24 @@
 			case OUTCOME_NOT_PASSED_ON, OUTCOME_FENCED -> notPassedOn(done, leaving);
 			case OUTCOME_CRASHED -> {
 				this.exchange.path().crashed(this.exchange.fingerprint(), done.getInFlight());
-				end(AttemptOutcome.CRASHED, Choice.Fared.BADLY, done.getDetail());
+				end(AttemptOutcome.CRASHED, Choice.Outcome.FAILURE, done.getDetail());
 			}
-			default -> end(AttemptOutcome.BROKEN, Choice.Fared.BADLY, done.getDetail());
+			default -> end(AttemptOutcome.INCOMPLETE, Choice.Outcome.FAILURE, done.getDetail());
 		}
 	}
 
 	private void answered() {
-		this.exchange.path().quarantine().answered(this.exchange.fingerprint());
+		this.exchange.path().quarantine().recordAnswer(this.exchange.fingerprint());
 		if (!this.exchange.model().isEmpty() && this.exchange.answer().notFound()) {
 			lacksModel();
 		}
 		else if (this.exchange.answer().rejected()) {
 			end(AttemptOutcome.REJECTED,
-					this.exchange.answer().overloaded() ? Choice.Fared.UNKNOWN : Choice.Fared.BADLY,
+					this.exchange.answer().overloaded() ? Choice.Outcome.UNKNOWN : Choice.Outcome.FAILURE,
 					"the upstream refused the request");
 		}
 		else {
-			end(AttemptOutcome.ANSWERED, Choice.Fared.WELL, "answered");
+			end(AttemptOutcome.ANSWERED, Choice.Outcome.SUCCESS, "answered");
 		}
 	}
 
@@ -102,31 +102,32 @@
 	// or not any more; others have. It ran nothing.
 	private void lacksModel() {
 		this.choice.upstream()
-			.lacks(this.exchange.model(), this.exchange.path().ticker().nanos() + Upstream.LACKING.toNanos());
-		end(AttemptOutcome.NOT_PASSED_ON, Choice.Fared.UNKNOWN, "the upstream does not hold the model");
+			.modelMissing(this.exchange.model(),
+					this.exchange.path().ticker().nanos() + Upstream.MODEL_MISSING_TTL.toNanos());
+		end(AttemptOutcome.NOT_PASSED_ON, Choice.Outcome.UNKNOWN, "the upstream does not hold the model");
 	}
 
 	// A sidecar that refuses for its own reasons, such as a full queue, says when to come
 	// back; one whose upstream is gone does not.
 	private void notPassedOn(Done done, boolean leaving) {
 		if (leaving) {
-			end(AttemptOutcome.HANDED_BACK, Choice.Fared.UNKNOWN, done.getDetail());
+			end(AttemptOutcome.RETURNED, Choice.Outcome.UNKNOWN, done.getDetail());
 		}
 		else if (done.getRetryAfterMillis() > 0) {
-			end(AttemptOutcome.REFUSED, Choice.Fared.UNKNOWN, done.getDetail());
+			end(AttemptOutcome.REFUSED, Choice.Outcome.UNKNOWN, done.getDetail());
 		}
 		else {
-			end(AttemptOutcome.NOT_PASSED_ON, Choice.Fared.BADLY, done.getDetail());
+			end(AttemptOutcome.NOT_PASSED_ON, Choice.Outcome.FAILURE, done.getDetail());
 		}
 	}
 
 	@Override
 	public void lost() {
 		this.exchange.inAttempt(this,
-				() -> end(AttemptOutcome.LINK_LOST, Choice.Fared.BADLY, "the link to the sidecar was lost"));
+				() -> end(AttemptOutcome.LINK_LOST, Choice.Outcome.FAILURE, "the link to the sidecar was lost"));
 	}
 
-	private void end(AttemptOutcome outcome, Choice.Fared fared, String detail) {
+	private void end(AttemptOutcome outcome, Choice.Outcome fared, String detail) {
 		this.choice.release(fared);
 		this.exchange.attemptEnded(this.choice.upstream(), outcome, detail);
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineExchange.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineExchange.java
@@ -11,12 +11,12 @@
 import io.vertx.core.Context;
 import io.vertx.ext.web.RoutingContext;
 import org.ragworthook.core.admission.AccountGate;
+import org.ragworthook.core.admission.EnqueueResult;
 import org.ragworthook.core.admission.Offer;
-import org.ragworthook.core.admission.Placing;
-import org.ragworthook.core.admission.Ticket;
+import org.ragworthook.core.admission.QueuedRequest;
 import org.ragworthook.core.error.ErrorCode;
 import org.ragworthook.core.error.RequestException;
-import org.ragworthook.core.quarantine.Standing;
+import org.ragworthook.core.quarantine.QuarantineState;
 import org.ragworthook.core.retry.AttemptOutcome;
 import org.ragworthook.core.retry.Deadline;
 import org.ragworthook.core.retry.RequestState;
@@ -99,7 +99,7 @@
 	}
 
 	private Optional<Refusal> refusal() {
-		Optional<Duration> quarantined = this.path.quarantine().left(this.request.run().getFingerprint());
+		Optional<Duration> quarantined = this.path.quarantine().remaining(this.request.run().getFingerprint());
 		if (quarantined.isPresent()) {
 			return Optional.of(new Refusal(ErrorCode.REQUEST_QUARANTINED,
 					"the same request crashed the upstreams that ran it", quarantined.get()));
@@ -131,7 +131,7 @@
 		}
 		Optional<Choice> choice = choose();
 		if (choice.isPresent() && choice.get().upstream().full()) {
-			choice.get().release(Choice.Fared.UNKNOWN);
+			choice.get().release(Choice.Outcome.UNKNOWN);
 			await();
 		}
 		else {
@@ -140,15 +140,15 @@
 	}
 
 	private void await() {
-		Ticket<OnlineExchange> ticket = new Ticket<>(this.request.account().name(), this.request.account().weight(),
-				this.deadline.atNanos().orElse(Offer.NO_DEADLINE), this);
-		Placing<OnlineExchange> placing = this.service.queue().offer(ticket);
-		if (placing instanceof Placing.Refused<OnlineExchange> refused) {
+		QueuedRequest<OnlineExchange> ticket = new QueuedRequest<>(this.request.account().name(),
+				this.request.account().weight(), this.deadline.atNanos().orElse(Offer.NO_DEADLINE), this);
+		EnqueueResult<OnlineExchange> placing = this.service.queue().offer(ticket);
+		if (placing instanceof EnqueueResult.Refused<OnlineExchange> refused) {
 			overloaded(refused.retryAfter());
 		}
-		else if (placing instanceof Placing.Queued<OnlineExchange> queued) {
+		else if (placing instanceof EnqueueResult.Queued<OnlineExchange> queued) {
 			queued.shed()
-				.map(Ticket::item)
+				.map(QueuedRequest::item)
 				.ifPresent((shed) -> shed.onContext(() -> shed.overloaded(queued.retryAfter())));
 		}
 	}
@@ -191,11 +191,11 @@
 			deadlinePassed();
 			return;
 		}
-		Standing standing = this.path.quarantine().standing(this.request.run().getFingerprint());
+		QuarantineState standing = this.path.quarantine().state(this.request.run().getFingerprint());
 		Optional<Sidecar> sidecar = choice.flatMap((chosen) -> this.path.sidecar(chosen.upstream()));
-		if (standing == Standing.CONVICTED || sidecar.isEmpty()) {
-			choice.ifPresent((chosen) -> chosen.release(Choice.Fared.UNKNOWN));
-			fail((standing == Standing.CONVICTED) ? ErrorCode.REQUEST_QUARANTINED
+		if (standing == QuarantineState.QUARANTINED || sidecar.isEmpty()) {
+			choice.ifPresent((chosen) -> chosen.release(Choice.Outcome.UNKNOWN));
+			fail((standing == QuarantineState.QUARANTINED) ? ErrorCode.REQUEST_QUARANTINED
 					: this.service.policy().noUpstream(this.state).code(),
 					"no upstream of '" + this.request.service().name() + "' takes the request");
 			return;
@@ -205,7 +205,7 @@
 		this.answer.nextAttempt();
 		OnlineAttempt attempt = new OnlineAttempt(this, choice.get(), sidecar.get());
 		this.current = Optional.of(attempt);
-		attempt.start(run(standing == Standing.SUSPECT));
+		attempt.start(run(standing == QuarantineState.SUSPECT));
 	}
 
 	private Run run(boolean alone) {
@@ -213,7 +213,7 @@
 			.toBuilder()
 			.setAttempt(this.attempts)
 			.setAlone(alone)
-			.setDeadlineMillis(this.deadline.millis())
+			.setDeadlineMillis(this.deadline.remainingMillis())
 			.setResumeText(this.answer.text())
 			.setResumeTokens(this.answer.tokens())
 			.build();
@@ -299,7 +299,7 @@
 		// What a running attempt has done is not known yet, so it counts as passed on.
 		RequestState known = this.current.isPresent() ? this.state.after(AttemptOutcome.CANCELLED, this.answer.sent())
 				: this.state;
-		fail(this.service.policy().late(known).code(),
+		fail(this.service.policy().deadlineExceeded(known).code(),
 				"the deadline passed after " + this.request.timeout().toMillis() + " ms");
 	}
 
@@ -322,7 +322,7 @@
 
 	private void fail(ErrorCode code, String detail) {
 		Duration wait = (code == ErrorCode.REQUEST_QUARANTINED)
-				? this.path.quarantine().left(fingerprint()).orElse(RETRY_AFTER) : RETRY_AFTER;
+				? this.path.quarantine().remaining(fingerprint()).orElse(RETRY_AFTER) : RETRY_AFTER;
 		finish(() -> this.path.errors().write(this.routing, new RequestException(code, detail), wait));
 	}
 
@@ -334,7 +334,7 @@
 		this.context.owner().cancelTimer(this.timer);
 		this.service.queue().withdraw(this);
 		this.current.ifPresent(OnlineAttempt::abandon);
-		this.account.ended(this.answer.tokens());
+		this.account.release(this.answer.tokens());
 		last.run();
 		this.path.ended();
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePart.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePart.java
@@ -9,7 +9,7 @@
 
 import io.vertx.core.Vertx;
 import io.vertx.ext.web.Router;
-import org.ragworthook.core.quarantine.Conviction;
+import org.ragworthook.core.quarantine.CrashRecord;
 import org.ragworthook.core.quarantine.Quarantine;
 import org.ragworthook.daemon.http.ErrorResponses;
 import org.ragworthook.daemon.http.Metrics;
@@ -31,7 +31,7 @@
 
 	private final Quarantine quarantine = Quarantine.of(InstantSource.system(), SUSPICION, QUARANTINE, REMEMBERED);
 
-	private final List<Consumer<Conviction>> listeners = new CopyOnWriteArrayList<>();
+	private final List<Consumer<CrashRecord>> listeners = new CopyOnWriteArrayList<>();
 
 	private final OnlinePath path;
 
@@ -83,7 +83,7 @@
 	 * Adds a listener for what other entries are to be told of.
 	 * @param listener takes what this entry has found out, on any thread
 	 */
-	public void onConviction(Consumer<Conviction> listener) {
+	public void onConviction(Consumer<CrashRecord> listener) {
 		this.listeners.add(listener);
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePath.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePath.java
@@ -11,7 +11,7 @@
 import org.ragworthook.core.admission.AccountGate;
 import org.ragworthook.core.contract.Account;
 import org.ragworthook.core.contract.Service;
-import org.ragworthook.core.quarantine.Conviction;
+import org.ragworthook.core.quarantine.CrashRecord;
 import org.ragworthook.core.quarantine.Quarantine;
 import org.ragworthook.core.routing.Upstream;
 import org.ragworthook.core.time.Ticker;
@@ -27,7 +27,7 @@
 
 	private final Quarantine quarantine;
 
-	private final Consumer<Conviction> convicted;
+	private final Consumer<CrashRecord> convicted;
 
 	private final ErrorResponses errors;
 
@@ -45,7 +45,7 @@
 
 	private volatile CompletableFuture<Void> drained;
 
-	OnlinePath(UpstreamDirectory directory, Quarantine quarantine, Consumer<Conviction> convicted,
+	OnlinePath(UpstreamDirectory directory, Quarantine quarantine, Consumer<CrashRecord> convicted,
 			ErrorResponses errors, Metrics metrics) {
 		this.directory = Objects.requireNonNull(directory, "directory is null");
 		this.quarantine = Objects.requireNonNull(quarantine, "quarantine is null");
@@ -94,7 +94,7 @@
 	}
 
 	void crashed(String fingerprint, int inFlight) {
-		this.quarantine.crashed(fingerprint, inFlight).ifPresent(this.convicted);
+		this.quarantine.recordCrash(fingerprint, inFlight).ifPresent(this.convicted);
 	}
 
 	void sweep() {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ServicePath.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ServicePath.java
@@ -34,7 +34,7 @@
 
 	static ServicePath of(Ticker ticker, Router router) {
 		Backoff backoff = Backoff.of(FIRST_DELAY, LONGEST_DELAY, ThreadLocalRandom::current);
-		return new ServicePath(router, RetryPolicy.of(RetryBudget.usual(), backoff, MOST_ATTEMPTS),
+		return new ServicePath(router, RetryPolicy.of(RetryBudget.defaults(), backoff, MOST_ATTEMPTS),
 				new ServiceQueue(ticker, router));
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ServiceQueue.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ServiceQueue.java
@@ -6,9 +6,9 @@
 import java.util.Objects;
 import java.util.Optional;
 
+import org.ragworthook.core.admission.EnqueueResult;
 import org.ragworthook.core.admission.FairQueue;
-import org.ragworthook.core.admission.Placing;
-import org.ragworthook.core.admission.Ticket;
+import org.ragworthook.core.admission.QueuedRequest;
 import org.ragworthook.core.routing.RouteTable;
 import org.ragworthook.core.routing.Router;
 import org.ragworthook.core.routing.Upstream;
@@ -41,8 +41,8 @@
 		return this.size > 0;
 	}
 
-	synchronized Placing<OnlineExchange> offer(Ticket<OnlineExchange> ticket) {
-		Placing<OnlineExchange> placing = this.queue.offer(ticket);
+	synchronized EnqueueResult<OnlineExchange> offer(QueuedRequest<OnlineExchange> ticket) {
+		EnqueueResult<OnlineExchange> placing = this.queue.offer(ticket);
 		this.size = this.queue.size();
 		return placing;
 	}
@@ -59,9 +59,9 @@
 	}
 
 	private synchronized Optional<OnlineExchange> next() {
-		Optional<Ticket<OnlineExchange>> first = this.queue.poll();
+		Optional<QueuedRequest<OnlineExchange>> first = this.queue.poll();
 		this.size = this.queue.size();
-		return first.map(Ticket::item);
+		return first.map(QueuedRequest::item);
 	}
 
 	/**
@@ -69,7 +69,7 @@
 	 * @param upstream the upstream
 	 */
 	void released(Upstream upstream) {
-		this.queue.ended();
+		this.queue.requestEnded();
 		if (this.size > 0 && !upstream.full()) {
 			next().ifPresent(OnlineExchange::turn);
 		}
@@ -102,7 +102,7 @@
 	}
 
 	private synchronized List<OnlineExchange> expired() {
-		List<OnlineExchange> late = this.queue.expired().stream().map(Ticket::item).toList();
+		List<OnlineExchange> late = this.queue.removeExpired().stream().map(QueuedRequest::item).toList();
 		this.size = this.queue.size();
 		return late;
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Sidecar.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Sidecar.java
@@ -297,7 +297,7 @@
 
 		private void load(Load reported) {
 			Sidecar.this.load = reported;
-			Sidecar.this.upstream.reported(reported.getOnlineRunning() + reported.getOnlineQueued(),
+			Sidecar.this.upstream.loadReported(reported.getOnlineRunning() + reported.getOnlineQueued(),
 					reported.getLimit());
 		}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/UpstreamDirectory.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/UpstreamDirectory.java
@@ -21,10 +21,10 @@
 import org.ragworthook.core.log.EventLog;
 import org.ragworthook.core.membership.Members;
 import org.ragworthook.core.membership.Membership;
-import org.ragworthook.core.reconcile.Usage;
+import org.ragworthook.core.reconcile.UpstreamUsage;
 import org.ragworthook.core.routing.RouteTable;
 import org.ragworthook.core.routing.Router;
-import org.ragworthook.core.routing.Subset;
+import org.ragworthook.core.routing.SubsetSelector;
 import org.ragworthook.core.routing.Upstream;
 import org.ragworthook.core.time.Ticker;
 import org.ragworthook.wire.link.LinkListener;
@@ -57,7 +57,7 @@
 
 	private final Membership membership = Membership.empty();
 
-	private final Subset subset = Subset.usual();
+	private final SubsetSelector subset = SubsetSelector.defaults();
 
 	private final Map<Address, Sidecar> byAddress = new HashMap<>();
 
@@ -113,12 +113,12 @@
 	 * Returns how much of each upstream its online requests use, as last reported.
 	 * @return the usage by the sidecar's instance
 	 */
-	public Map<String, Usage> usage() {
-		Map<String, Usage> usage = new HashMap<>();
+	public Map<String, UpstreamUsage> usage() {
+		Map<String, UpstreamUsage> usage = new HashMap<>();
 		sidecars()
 			.forEach((sidecar) -> sidecar.remote()
 				.ifPresent((remote) -> usage.put(remote.instance(),
-						new Usage(sidecar.load().getOnlineRunning() + sidecar.load().getOnlineQueued(),
+						new UpstreamUsage(sidecar.load().getOnlineRunning() + sidecar.load().getOnlineQueued(),
 								sidecar.load().getLimit()))));
 		return usage;
 	}
@@ -183,8 +183,8 @@
 		}
 		this.entries = instances.stream().filter((instance) -> instance.role() == Role.ENTRY).toList();
 		Members members = this.membership
-			.listed(instances.stream().filter((instance) -> instance.role() == Role.SIDECAR).toList());
-		Map<Address, Instance> wanted = subset(members.wanted());
+			.instancesListed(instances.stream().filter((instance) -> instance.role() == Role.SIDECAR).toList());
+		Map<Address, Instance> wanted = subset(members.linkTargets());
 		List.copyOf(this.byAddress.keySet())
 			.stream()
 			.filter((address) -> !wanted.containsKey(address))
@@ -215,17 +215,17 @@
 
 	@Override
 	public synchronized void linked(Sidecar sidecar, Remote remote) {
-		publish(this.membership.linked(sidecar.instance(), remote.instance(), remote.leaving()));
+		publish(this.membership.linkOpened(sidecar.instance(), remote.instance(), remote.leaving()));
 	}
 
 	@Override
 	public synchronized void leaving(Sidecar sidecar, Remote remote) {
-		publish(this.membership.leaving(sidecar.instance().link(), remote.instance()));
+		publish(this.membership.drainAnnounced(sidecar.instance().link(), remote.instance()));
 	}
 
 	@Override
 	public synchronized void lost(Sidecar sidecar) {
-		publish(this.membership.lost(sidecar.instance().link()));
+		publish(this.membership.linkLost(sidecar.instance().link()));
 	}
 
 	private void publish(Members members) {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/sidecar/ActiveRun.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/sidecar/ActiveRun.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 import com.google.protobuf.UnsafeByteOperations;
-import org.ragworthook.core.admission.Ending;
 import org.ragworthook.core.admission.Offer;
 import org.ragworthook.core.admission.RunKey;
+import org.ragworthook.core.admission.RunOutcome;
 import org.ragworthook.daemon.engine.CallEnd;
 import org.ragworthook.daemon.engine.CallOutput;
 import org.ragworthook.daemon.engine.UpstreamCall;
@@ -72,7 +72,7 @@
 			offer = offer.withDeadline(this.arrivedNanos + this.run.getDeadlineMillis() * 1_000_000L);
 		}
 		if (this.run.getAlone()) {
-			offer = offer.asSuspect();
+			offer = offer.asExclusive();
 		}
 		return this.run.getRepeatable() ? offer : offer.notPreemptible();
 	}
@@ -168,12 +168,12 @@
 	 * @param end how the call ended
 	 * @return the ending
 	 */
-	Ending ending(CallEnd end) {
+	RunOutcome ending(CallEnd end) {
 		return switch (end.kind()) {
-			case ANSWERED ->
-				(this.status == TOO_MANY_REQUESTS || this.status == UNAVAILABLE) ? Ending.OVERLOADED : Ending.ANSWERED;
-			case NOT_PASSED_ON, BROKEN -> Ending.LOST;
-			case CANCELLED -> Ending.CANCELLED;
+			case ANSWERED -> (this.status == TOO_MANY_REQUESTS || this.status == UNAVAILABLE) ? RunOutcome.OVERLOADED
+					: RunOutcome.ANSWERED;
+			case NOT_PASSED_ON, BROKEN -> RunOutcome.FAILED;
+			case CANCELLED -> RunOutcome.CANCELLED;
 		};
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/sidecar/SidecarProcess.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/sidecar/SidecarProcess.java
@@ -125,7 +125,7 @@
 			.bounds(1, upstream.maxLimit())
 			.initial(upstream.initialLimit())
 			.build();
-		return GatePolicy.parse(upstream.policy().name()).gate(Ticker.system(), limit, HEADROOM, BATCH_ROOM);
+		return GatePolicy.parse(upstream.policy().name()).createGate(Ticker.system(), limit, HEADROOM, BATCH_ROOM);
 	}
 
 	/**
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/sidecar/SidecarRuns.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/sidecar/SidecarRuns.java
@@ -95,9 +95,9 @@
 				() -> (int) this.active.values().stream().filter(ActiveRun::passedOn).count());
 		this.load = newLoad();
 		context.runOnContext((ignored) -> {
-			context.owner().setPeriodic(SWEEP_MILLIS, (id) -> perform(gate.swept()));
+			context.owner().setPeriodic(SWEEP_MILLIS, (id) -> perform(gate.sweep()));
 			context.owner().setPeriodic(REPORT_MILLIS, (id) -> report());
-			QueueReports.follow(context.owner(), upstream, gate::engineWaiting);
+			QueueReports.follow(context.owner(), upstream, gate::engineQueueReported);
 		});
 	}
 
@@ -198,13 +198,13 @@
 	// one that is to be given up as well.
 	private void giveUp(Predicate<ActiveRun> which) {
 		List<ActiveRun> given = this.active.values().stream().filter(which).toList();
-		List<ActiveRun> running = given.stream().filter((run) -> !this.gate.withdrawn(run.key())).toList();
+		List<ActiveRun> running = given.stream().filter((run) -> !this.gate.withdraw(run.key())).toList();
 		given.stream().filter((run) -> !running.contains(run)).forEach((run) -> {
 			this.active.remove(run.key());
 			run.done(done(Outcome.OUTCOME_NOT_PASSED_ON, "cancelled while it waited"));
 		});
 		running.forEach(ActiveRun::cancel);
-		perform(this.gate.swept());
+		perform(this.gate.sweep());
 	}
 
 	private void perform(List<GateAction> actions) {
@@ -237,10 +237,10 @@
 
 	private static String detail(GateAction.Reason reason) {
 		return switch (reason) {
-			case FULL -> "the queue before the upstream is full";
-			case DEADLINE -> "the deadline passed while the request waited";
-			case TAKEN_BY_SUSPECT -> "the upstream runs one request alone";
-			case LEAVING -> "the sidecar is leaving";
+			case QUEUE_FULL -> "the queue before the upstream is full";
+			case DEADLINE_PASSED -> "the deadline passed while the request waited";
+			case RESERVED_FOR_SUSPECT -> "the upstream runs one request alone";
+			case DRAINING -> "the sidecar is leaving";
 		};
 	}
 
@@ -278,7 +278,7 @@
 			CompletableFuture<Void> farewell = new CompletableFuture<>();
 			this.context.owner().setTimer(FAREWELL.toMillis(), (id) -> farewell.complete(null));
 			CompletableFuture.allOf(this.drained, farewell).thenRun(() -> done.complete(null));
-			perform(this.gate.leave());
+			perform(this.gate.drain());
 		});
 		return done;
 	}
@@ -301,7 +301,7 @@
 		@Override
 		public void output(CallOutput piece) {
 			if (!this.run.answering()) {
-				SidecarRuns.this.gate.started(this.run.key());
+				SidecarRuns.this.gate.firstOutput(this.run.key());
 			}
 			this.run.output(piece);
 		}
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/entry/OnlineFailureTests.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/entry/OnlineFailureTests.java
@@ -384,7 +384,7 @@
 		assertThat(Caller.await(good).statusCode()).isEqualTo(200);
 		assertThat(Caller.error(Caller.await(this.caller.chat("poison", false)))).isEqualTo("request_quarantined");
 		assertThat(upstream.count()).isEqualTo(5);
-		TestFleet.await(() -> !other.online().quarantine().convictions().isEmpty());
+		TestFleet.await(() -> !other.online().quarantine().quarantined().isEmpty());
 		assertThat(Caller.error(Caller.await(other.caller().chat("poison", false)))).isEqualTo("request_quarantined");
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
@@ -189,7 +189,7 @@
 			boolean unknown = doubtful || ConditionalWriter.codeOf(failure)
 				.filter((code) -> code == ErrorCode.STORE_UNAVAILABLE || code == ErrorCode.STORE_RATE_LIMITED)
 				.isEmpty();
-			if (!deadline.within(TRY_AGAIN)) {
+			if (!deadline.expiresWithin(TRY_AGAIN)) {
 				this.timers.schedule(TRY_AGAIN, () -> create(job, deadline, reply, unknown));
 				return;
 			}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
@@ -110,7 +110,7 @@
 	 * Begins: places the request or lets it wait for a slot.
 	 */
 	void start() {
-		Duration left = this.request.deadline().left().orElse(this.request.route().timeout());
+		Duration left = this.request.deadline().remaining().orElse(this.request.route().timeout());
 		this.timeout = this.context.timers().schedule(left, this::timedOut);
 		place();
 	}
@@ -185,7 +185,7 @@
 	private FullHttpRequest message() {
 		FullHttpRequest message = Attempt.request(this.request.method(), this.request.uri(), this.request.headers(),
 				this.request.body());
-		message.headers().set(this.context.headers().deadlineMillis(), this.request.deadline().millis());
+		message.headers().set(this.context.headers().deadlineMillis(), this.request.deadline().remainingMillis());
 		if (this.lastEvent > 0) {
 			message.headers().set(this.context.headers().lastEventId(), this.lastEvent);
 		}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineQueues.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineQueues.java
@@ -128,7 +128,7 @@
 	}
 
 	private Duration waitAtMost(String service, OnlineExchange exchange) {
-		Duration left = exchange.request().deadline().left().orElse(exchange.request().route().timeout());
+		Duration left = exchange.request().deadline().remaining().orElse(exchange.request().route().timeout());
 		Duration wait = Duration.ofMillis((long) (left.toMillis() * MAX_WAIT));
 		exchange.patience(this.context.timers().schedule(wait, () -> {
 			leave(service, exchange);
--- a/modules/standin/src/main/java/org/ragworthook/standin/bench/RoutingBench.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/bench/RoutingBench.java
@@ -121,7 +121,7 @@
 			}
 			times.recordValue((System.nanoTime() - start) / GROUP);
 			while (running.size() > inFlight) {
-				running.remove().release(Choice.Fared.WELL);
+				running.remove().release(Choice.Outcome.SUCCESS);
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 				chosen = choice.upstream();
 			}
 			while (running.size() > upstreams.size() * IN_FLIGHT) {
-				running.remove().release(Choice.Fared.WELL);
+				running.remove().release(Choice.Outcome.SUCCESS);
 			}
 			counts.merge(chosen, 1, Integer::sum);
 			Map<Long, Boolean> cache = caches.computeIfAbsent(chosen, (ignored) -> new Cache());
--- a/modules/standin/src/main/java/org/ragworthook/standin/capacity/GatePart.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/capacity/GatePart.java
@@ -46,7 +46,7 @@
 		Map<String, AccountGate> gates = new HashMap<>();
 		IntStream.range(0, count).forEach((number) -> {
 			AccountGate gate = AccountGate.of(Ticker.system());
-			gate.limit(20, 50, 1_000);
+			gate.setLimits(20, 50, 1_000);
 			gates.put("account-" + number, gate);
 		});
 		return gates;
@@ -55,7 +55,7 @@
 	private static void admit(AccountGate gate) {
 		for (int i = 0; i < REQUESTS; i++) {
 			if (gate.admit().isEmpty()) {
-				gate.ended(0);
+				gate.release(0);
 			}
 		}
 	}
--- a/modules/standin/src/main/java/org/ragworthook/standin/capacity/LeasePart.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/capacity/LeasePart.java
@@ -8,8 +8,8 @@
 import java.util.stream.IntStream;
 
 import org.ragworthook.core.lease.Lease;
+import org.ragworthook.core.lease.ShardLeases;
 import org.ragworthook.core.lease.ShardListener;
-import org.ragworthook.core.lease.ShardMap;
 import org.ragworthook.core.store.MemoryObjectStore;
 import org.ragworthook.core.store.Stamps;
 import org.ragworthook.core.time.ManualTime;
@@ -70,7 +70,7 @@
 	}
 
 	private static void start(CountingStore store, ManualTime time, Set<String> entries, String self, int shards) {
-		ShardMap.builder(store, Stamps.of(self))
+		ShardLeases.builder(store, Stamps.of(self))
 			.time(time, time)
 			.listener(new Idle())
 			.entries(() -> entries)
@@ -89,7 +89,7 @@
 	private static final class Idle implements ShardListener {
 
 		@Override
-		public void taken(int shard, Lease lease) {
+		public void acquired(int shard, Lease lease) {
 		}
 
 		@Override
@@ -97,7 +97,7 @@
 		}
 
 		@Override
-		public CompletableFuture<Void> leaving(int shard, Lease lease) {
+		public CompletableFuture<Void> releasing(int shard, Lease lease) {
 			return CompletableFuture.completedFuture(null);
 		}
 
--- a/modules/standin/src/main/java/org/ragworthook/standin/capacity/RoutePart.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/capacity/RoutePart.java
@@ -16,7 +16,7 @@
 import org.ragworthook.core.routing.RouteRequest;
 import org.ragworthook.core.routing.RouteTable;
 import org.ragworthook.core.routing.Router;
-import org.ragworthook.core.routing.Subset;
+import org.ragworthook.core.routing.SubsetSelector;
 import org.ragworthook.core.routing.Upstream;
 import org.ragworthook.core.time.Ticker;
 
@@ -60,8 +60,8 @@
 		List<Instance> entries = instances(Role.ENTRY, ENTRIES);
 		double membership = Gauge.heapKb(() -> listed(instances(Role.SIDECAR, size)));
 		double table = Gauge.heapKb(() -> table(sidecars));
-		double subset = Gauge.cpuMillis(() -> Subset.usual().of(entries.get(0), entries, sidecars));
-		int links = Subset.usual().of(entries.get(0), entries, sidecars).size();
+		double subset = Gauge.cpuMillis(() -> SubsetSelector.defaults().of(entries.get(0), entries, sidecars));
+		int links = SubsetSelector.defaults().of(entries.get(0), entries, sidecars).size();
 		Router router = Router.of(Ticker.system(), () -> new Random(1), 1.25);
 		router.update(table(sidecars));
 		double choices = Gauge.cpuMillis(() -> choose(router));
@@ -73,7 +73,7 @@
 
 	private static Membership listed(List<Instance> instances) {
 		Membership membership = Membership.empty();
-		membership.listed(instances);
+		membership.instancesListed(instances);
 		return membership;
 	}
 
@@ -83,15 +83,15 @@
 
 	private static Upstream upstream(Instance sidecar) {
 		Upstream upstream = Upstream.of(sidecar);
-		upstream.reported(0, SLOTS);
-		upstream.loaded(Set.of(MODEL));
+		upstream.loadReported(0, SLOTS);
+		upstream.modelsReported(Set.of(MODEL));
 		return upstream;
 	}
 
 	private static void choose(Router router) {
 		for (int i = 0; i < CHOICES; i++) {
 			RouteRequest request = RouteRequest.of(MODEL, OptionalLong.of(i % PREFIXES));
-			router.choose(request).orElseThrow().release(Choice.Fared.WELL);
+			router.choose(request).orElseThrow().release(Choice.Outcome.SUCCESS);
 		}
 	}
 
--- a/modules/standin/src/main/java/org/ragworthook/standin/control/MoveBench.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/control/MoveBench.java
@@ -15,7 +15,7 @@
 import org.ragworthook.core.reconcile.Reconciler;
 import org.ragworthook.core.reconcile.Step;
 import org.ragworthook.core.reconcile.StepLimits;
-import org.ragworthook.core.reconcile.StepMemory;
+import org.ragworthook.core.reconcile.StepTracker;
 import org.ragworthook.core.reconcile.UpstreamView;
 
 /**
@@ -57,7 +57,7 @@
 
 		private final Map<String, UpstreamView> fleet = new TreeMap<>();
 
-		private final StepMemory memory = StepMemory.empty();
+		private final StepTracker memory = StepTracker.empty();
 
 		private final Contract contract = Contract.parse(1, Texts.of(1, MODELS, UPSTREAMS, 3, 18));
 
@@ -85,8 +85,8 @@
 		}
 
 		private String result() {
-			Reconciler reconciler = Reconciler.of(StepLimits.of(new WeightStore(600, 60)).withThreshold(this.threshold),
-					this::demand);
+			Reconciler reconciler = Reconciler
+				.of(StepLimits.of(new WeightStore(600, 60)).withRebalanceThreshold(this.threshold), this::demand);
 			for (int round = 0; round < ROUNDS; round++) {
 				change(round);
 				List<Step> steps = reconciler.plan(this.contract, new ArrayList<>(this.fleet.values()), this.memory,
--- a/modules/standin/src/main/java/org/ragworthook/standin/control/PlanBench.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/control/PlanBench.java
@@ -8,7 +8,7 @@
 import org.ragworthook.core.contract.WeightStore;
 import org.ragworthook.core.reconcile.Reconciler;
 import org.ragworthook.core.reconcile.StepLimits;
-import org.ragworthook.core.reconcile.StepMemory;
+import org.ragworthook.core.reconcile.StepTracker;
 import org.ragworthook.core.reconcile.UpstreamView;
 
 /**
@@ -56,7 +56,7 @@
 
 	private static Samples plan(Contract contract, List<UpstreamView> fleet) {
 		Reconciler reconciler = Reconciler.of(StepLimits.of(WeightStore.standard()), (model) -> 0);
-		return Samples.of(SAMPLES, () -> reconciler.plan(contract, fleet, StepMemory.empty(), 0));
+		return Samples.of(SAMPLES, () -> reconciler.plan(contract, fleet, StepTracker.empty(), 0));
 	}
 
 }
