--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/AccessControl.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/AccessControl.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * Finds the account of a caller by its key. A key counts as unknown only if the
- * configuration was confirmed a moment ago, since it may have been added since. Used on
- * the event loop.
+ * Authenticates callers by API key. Rejects an unknown key only against a recently
+ * confirmed configuration, because the key may have been added after the last one. Not
+ * thread-safe: used on the event loop.
  */
 public final class AccessControl {
 
@@ -24,57 +24,59 @@
 	}
 
 	/**
-	 * Returns the control of callers.
-	 * @param accounts gives the accounts of the configuration in force
-	 * @param lease the right to rely on them, or empty if they may always be relied on
-	 * @return the control
+	 * Returns an access control.
+	 * @param accounts returns the accounts of the active configuration
+	 * @param lease limits how long the accounts may be relied on, or empty if they may
+	 * always be
+	 * @return a new access control
 	 */
 	public static AccessControl of(Supplier<Accounts> accounts, Optional<ConfigurationLease> lease) {
 		return new AccessControl(accounts, lease);
 	}
 
 	/**
-	 * Tells whether callers have to show a key.
-	 * @return whether they do
+	 * Returns whether callers have to present a key.
+	 * @return whether the active configuration has any account
 	 */
 	public boolean keyRequired() {
 		return this.accounts.get().keyRequired();
 	}
 
 	/**
-	 * Tells whether no caller can be let in for now.
-	 * @return whether keys are required and cannot be relied on
+	 * Returns whether no caller can be authenticated at present.
+	 * @return whether keys are required but the configuration is no longer confirmed
 	 */
 	public boolean unavailable() {
 		return keyRequired() && this.lease.filter(ConfigurationLease::unavailable).isPresent();
 	}
 
 	/**
-	 * Returns how long ago the keys were confirmed.
-	 * @return the age, or empty if they never were or need not be
+	 * Returns how long ago the accounts were last confirmed.
+	 * @return the age, or empty if they were never confirmed or need no confirmation
 	 */
 	public Optional<Duration> confirmationAge() {
 		return this.lease.flatMap(ConfigurationLease::confirmationAge);
 	}
 
 	/**
-	 * Finds out who calls.
-	 * @param keys the keys that the caller shows
-	 * @param outcome takes the access, at once or after a check
+	 * Authenticates a caller.
+	 * @param keys the keys in the caller's request
+	 * @param outcome receives the decision, either immediately or once the configuration
+	 * has been confirmed
 	 */
 	public void authenticate(List<String> keys, Consumer<AccessDecision> outcome) {
 		if (this.lease.isEmpty()) {
-			outcome.accept(access(keys));
+			outcome.accept(decide(keys));
 			return;
 		}
-		ConfigurationLease held = this.lease.get();
-		Duration maxAge = (access(keys).verdict() == AccessDecision.Verdict.GRANTED) ? held.validity()
-				: held.maxDenialAge();
-		held.awaitConfirmation(maxAge,
-				(confirmed) -> outcome.accept(confirmed ? access(keys) : AccessDecision.unconfirmed()));
+		ConfigurationLease activeLease = this.lease.get();
+		Duration maxAge = (decide(keys).verdict() == AccessDecision.Verdict.GRANTED) ? activeLease.validity()
+				: activeLease.maxDenialAge();
+		activeLease.awaitConfirmation(maxAge,
+				(confirmed) -> outcome.accept(confirmed ? decide(keys) : AccessDecision.unconfirmed()));
 	}
 
-	private AccessDecision access(List<String> keys) {
+	private AccessDecision decide(List<String> keys) {
 		Optional<ClientAccount> holder = (keys.size() == 1) ? this.accounts.get().byKey(keys.get(0)) : Optional.empty();
 		return holder.map(AccessDecision::granted).orElseGet(AccessDecision::denied);
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/AccessDecision.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/AccessDecision.java
@@ -4,36 +4,36 @@
 import java.util.Optional;
 
 /**
- * Whether a caller is let in.
+ * The outcome of authenticating a caller by its API key.
  *
- * @param verdict whether
- * @param account the account that holds the caller's key, if it is let in
+ * @param verdict whether the caller is admitted
+ * @param account the account that holds the caller's key, present if and only if access
+ * is granted
  */
 public record AccessDecision(Verdict verdict, Optional<ClientAccount> account) {
 
-	/**
-	 * Checks the parts.
-	 */
+	/** Checks the components. */
 	public AccessDecision {
 		Objects.requireNonNull(verdict, "verdict is null");
 		Objects.requireNonNull(account, "account is null");
 	}
 
 	static AccessDecision granted(ClientAccount account) {
+		/** Exactly one account holds the key. */
 		return new AccessDecision(Verdict.GRANTED, Optional.of(account));
 	}
 
 	static AccessDecision denied() {
+		/** No account holds the key, or the request does not carry exactly one key. */
 		return new AccessDecision(Verdict.DENIED, Optional.empty());
 	}
 
 	static AccessDecision unconfirmed() {
+		/** The configuration was not confirmed recently enough to decide. */
 		return new AccessDecision(Verdict.UNCONFIRMED, Optional.empty());
 	}
 
-	/**
-	 * Whether a caller is let in.
-	 */
+	/** Whether a caller is admitted. */
 	public enum Verdict {
 
 		/** An account holds the key. */
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/Accounts.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/Accounts.java
@@ -9,9 +9,9 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * The client accounts of one configuration and their keys. Immutable.
+ * The client accounts of one configuration, indexed by API key. Immutable.
  * <p>
- * A key that two accounts hold identifies neither of them.
+ * A key that is assigned to more than one account identifies none of them.
  */
 public final class Accounts {
 
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Returns the accounts of a configuration that has none: callers need no key.
+	 * Returns an empty set of accounts, with which callers need no key.
 	 * @return no accounts
 	 */
 	public static Accounts none() {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Begins a collection of accounts.
+	 * Returns a builder without accounts.
 	 * @return a new builder
 	 */
 	public static Builder builder() {
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Tells whether callers have to show a key.
+	 * Returns whether callers have to present a key.
 	 * @return whether there is any account
 	 */
 	public boolean keyRequired() {
@@ -53,30 +53,28 @@
 	}
 
 	/**
-	 * Finds the account that holds a key.
-	 * @param key the key
-	 * @return the account, or empty if none holds it
+	 * Returns the account that holds a key.
+	 * @param key the API key
+	 * @return the account, or empty if no account holds the key or several do
 	 */
 	public Optional<ClientAccount> byKey(String key) {
 		return Optional.ofNullable(this.byKey.get(key));
 	}
 
 	/**
-	 * Finds an account by the number that processes use for it.
-	 * @param tag the number
+	 * Returns the account with a tag.
+	 * @param tag the account's {@link ClientAccount#tag() tag}
 	 * @return the account, or empty if there is none
 	 */
 	public Optional<ClientAccount> byTag(int tag) {
 		return Optional.ofNullable(this.byTag.get(tag));
 	}
 
-	/**
-	 * Collects accounts.
-	 */
+	/** Builds a set of accounts. */
 	public static final class Builder {
 
-		/** Stands for the holder of a key that several accounts hold. */
-		private static final ClientAccount SHARED = new ClientAccount("", Optional.empty(), Quota.UNLIMITED);
+		/** Marks a key that several accounts hold. */
+		private static final ClientAccount AMBIGUOUS = new ClientAccount("", Optional.empty(), Quota.UNLIMITED);
 
 		private final Map<String, ClientAccount> byKey = new HashMap<>();
 
@@ -88,7 +86,7 @@
 		/**
 		 * Adds an account.
 		 * @param account the account
-		 * @param keys its keys; empty ones are passed over
+		 * @param keys its API keys; empty strings are ignored
 		 * @return this builder
 		 */
 		public Builder add(ClientAccount account, Collection<String> keys) {
@@ -96,27 +94,27 @@
 			this.byTag.put(account.tag(), account);
 			for (String key : keys) {
 				if (!key.isEmpty()) {
-					this.byKey.merge(key, account, Builder::shared);
+					this.byKey.merge(key, account, Builder::ambiguous);
 				}
 			}
 			return this;
 		}
 
 		/**
-		 * Returns the accounts that were added.
-		 * @return the accounts
+		 * Builds the accounts.
+		 * @return the accounts that were added
 		 */
 		public Accounts build() {
-			this.byKey.values().removeIf((account) -> account == SHARED);
+			this.byKey.values().removeIf((account) -> account == AMBIGUOUS);
 			return new Accounts(this);
 		}
 
-		private static ClientAccount shared(ClientAccount one, ClientAccount other) {
+		private static ClientAccount ambiguous(ClientAccount one, ClientAccount other) {
 			if (one.equals(other)) {
 				return one;
 			}
 			LOG.warning("key_held_twice", "account", one.name(), "other", other.name());
-			return SHARED;
+			return AMBIGUOUS;
 		}
 
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/ClientAccount.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/ClientAccount.java
@@ -4,18 +4,17 @@
 import java.util.Optional;
 
 /**
- * Who calls, as far as limits, priority and billing go. Holds no key.
+ * A client account, to which rate limits, request priority and usage apply. Does not hold
+ * the account's keys.
  *
- * @param name the operator's name for it
- * @param priority the priority of its requests, 0 being the highest, or empty for that of
- * the route
- * @param quota how many requests it may send
+ * @param name the account's name in the configuration
+ * @param priority the priority of its requests, 0 being the highest, or empty to use the
+ * route's priority
+ * @param quota its rate limit
  */
 public record ClientAccount(String name, Optional<Integer> priority, Quota quota) {
 
-	/**
-	 * Checks the values.
-	 */
+	/** Checks the components. */
 	public ClientAccount {
 		Objects.requireNonNull(name, "name is null");
 		Objects.requireNonNull(priority, "priority is null");
@@ -23,8 +22,8 @@
 	}
 
 	/**
-	 * Returns the number by which processes name the account to each other.
-	 * @return a hash that is the same in every process
+	 * Returns the number that identifies the account in messages between processes.
+	 * @return a hash of the name, the same in every process
 	 */
 	public int tag() {
 		return this.name.hashCode();
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/ConfigurationLease.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/ConfigurationLease.java
@@ -18,21 +18,22 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * The right of a process to rely on the keys of the configuration that it knows.
+ * Limits how long a process may rely on the API keys of its configuration.
  * <p>
- * A process that is cut off from the platform does not learn that a key was revoked. So
- * it relies on its configuration only for a time after the platform has confirmed that
- * there is no newer one. That time counts from before the confirming call was sent, by
- * the monotonic clock, and is looked at when a request arrives. Renewed when it is used;
- * an idle process makes no calls. A check of one process can confirm the others, so each
- * waits a random while longer for one of theirs. Used on the event loop.
+ * A process that is cut off from the platform does not learn that a key was revoked. It
+ * therefore relies on its configuration only for a limited time after the platform has
+ * confirmed that there is no newer one. That time is measured from before the confirming
+ * call was sent, by the monotonic clock, and is checked whenever a request arrives. The
+ * lease is renewed on use, so an idle process makes no calls. A check by one process can
+ * also confirm the configuration of the others, so each process delays its own check by a
+ * random time. Not thread-safe: used on the event loop.
  */
 public final class ConfigurationLease {
 
 	private static final EventLog LOG = EventLog.of(ConfigurationLease.class);
 
-	/** Requests that wait for one check at most. */
-	static final int MAX_WAITING = 256;
+	/** Maximum number of requests that wait for a check. */
+	static final int MAX_PENDING = 256;
 
 	private final Ticker ticker;
 
@@ -46,16 +47,16 @@
 
 	private final RandomGenerator random;
 
-	private final List<Waiting> waiting = new ArrayList<>();
+	private final List<PendingRequest> pending = new ArrayList<>();
 
-	private LongConsumer listener = (nanos) -> {
+	private LongConsumer checkListener = (nanos) -> {
 	};
 
-	private Duration renewal;
+	private Duration renewalAge;
 
-	private Optional<Long> confirmedNanos = Optional.empty();
+	private Optional<Long> lastConfirmedNanos = Optional.empty();
 
-	private Optional<Long> checkedNanos = Optional.empty();
+	private Optional<Long> lastCheckNanos = Optional.empty();
 
 	private boolean checking;
 
@@ -69,18 +70,18 @@
 		this.check = Objects.requireNonNull(check, "check is null");
 		this.terms = Objects.requireNonNull(terms, "terms is null");
 		this.random = Objects.requireNonNull(random, "random is null");
-		this.renewal = terms.renewalAge();
+		this.renewalAge = terms.renewalAge();
 	}
 
 	/**
-	 * Returns a lease that is not held yet.
+	 * Returns a lease whose configuration has not been confirmed yet.
 	 * @param ticker the monotonic clock
-	 * @param timers runs tasks later, on the event loop
+	 * @param timers schedules tasks on the event loop
 	 * @param loop the event loop
-	 * @param check reads the configuration from the platform, puts it in force, and tells
-	 * whether the one in force was the newest when the call was made
-	 * @param terms how the lease is kept
-	 * @param random spreads the checks of the processes
+	 * @param check reads the configuration from the platform, activates it, and completes
+	 * with whether the active configuration was the newest one when the call was made
+	 * @param terms the durations of the lease
+	 * @param random spreads the checks of the processes over time
 	 * @return a new lease
 	 */
 	public static ConfigurationLease of(Ticker ticker, Timers timers, Executor loop,
@@ -90,142 +91,145 @@
 
 	/**
 	 * Returns how long the keys may be relied on after a confirmation.
-	 * @return the validity
+	 * @return the maximum age of a confirmation for accepting a key
 	 */
 	public Duration validity() {
 		return this.terms.validity();
 	}
 
 	/**
-	 * Returns how old a confirmation may be for a key that is not known to be denied.
-	 * @return the age from which a check is made first
+	 * Returns how old a confirmation may be for rejecting an unknown key.
+	 * @return the age above which the configuration is checked before a key is rejected
 	 */
 	public Duration maxDenialAge() {
 		return this.terms.renewalAge();
 	}
 
 	/**
-	 * Returns how long ago the configuration was confirmed.
-	 * @return the age, or empty if it never was
+	 * Returns how long ago the configuration was last confirmed.
+	 * @return the age, or empty if it was never confirmed
 	 */
 	public Optional<Duration> confirmationAge() {
-		return this.confirmedNanos.map((confirmed) -> Duration.ofNanos(this.ticker.nanos() - confirmed));
+		return this.lastConfirmedNanos.map((confirmed) -> Duration.ofNanos(this.ticker.nanos() - confirmed));
 	}
 
 	/**
-	 * Tells whether the lease has run out because checks fail. Makes a check if so.
-	 * @return whether callers are to go elsewhere
+	 * Returns whether the lease has expired and checks fail. If so, starts another check
+	 * unless one was made within the retry delay.
+	 * @return whether callers should be sent to other instances
 	 */
 	public boolean unavailable() {
-		boolean lost = this.failing && !confirmedWithin(this.terms.validity());
-		if (lost) {
-			checkAgain();
+		boolean unavailable = this.failing && !confirmedWithin(this.terms.validity());
+		if (unavailable) {
+			startCheck();
 		}
-		return lost;
+		return unavailable;
 	}
 
 	/**
-	 * Uses the lease, or waits for a check if the last confirmation is too old.
-	 * @param maxAge how old the confirmation may be
-	 * @param outcome is told whether there is one that is young enough
+	 * Reports whether the configuration was confirmed recently enough, after a check if
+	 * it was not.
+	 * @param maxAge the maximum age of the confirmation
+	 * @param outcome receives whether there is a confirmation of at most that age; called
+	 * immediately if there is one, if checks fail or if too many requests already wait
 	 */
 	public void awaitConfirmation(Duration maxAge, Consumer<Boolean> outcome) {
 		if (confirmedWithin(maxAge)) {
-			if (!confirmedWithin(this.renewal)) {
-				checkAgain();
+			if (!confirmedWithin(this.renewalAge)) {
+				startCheck();
 			}
 			outcome.accept(true);
 		}
-		else if (this.failing || this.waiting.size() >= MAX_WAITING) {
-			checkAgain();
+		else if (this.failing || this.pending.size() >= MAX_PENDING) {
+			startCheck();
 			outcome.accept(false);
 		}
 		else {
-			Waiting request = new Waiting(maxAge, outcome);
-			this.waiting.add(request);
-			request.timer = Optional.of(this.timers.schedule(this.terms.maxWait(), () -> end(request, false)));
-			checkAgain();
+			PendingRequest request = new PendingRequest(maxAge, outcome);
+			this.pending.add(request);
+			request.timer = Optional.of(this.timers.schedule(this.terms.maxWait(), () -> complete(request, false)));
+			startCheck();
 		}
 	}
 
-	private boolean confirmedWithin(Duration age) {
-		return confirmationAge().filter((present) -> present.compareTo(age) <= 0).isPresent();
+	private boolean confirmedWithin(Duration maxAge) {
+		return confirmationAge().filter((age) -> age.compareTo(maxAge) <= 0).isPresent();
 	}
 
-	private void checkAgain() {
+	private void startCheck() {
 		long now = this.ticker.nanos();
-		boolean pausing = this.failing
-				&& this.checkedNanos.filter((last) -> now - last < this.terms.retryDelay().toNanos()).isPresent();
-		if (this.checking || pausing) {
+		boolean backingOff = this.failing
+				&& this.lastCheckNanos.filter((last) -> now - last < this.terms.retryDelay().toNanos()).isPresent();
+		if (this.checking || backingOff) {
 			return;
 		}
 		this.checking = true;
-		this.checkedNanos = Optional.of(now);
+		this.lastCheckNanos = Optional.of(now);
 		this.check.get().whenCompleteAsync((newest, failure) -> {
 			this.checking = false;
 			if (failure == null && newest) {
-				checked(now);
+				checkSucceeded(now);
 			}
 			else {
-				failed(failure);
+				checkFailed(failure);
 			}
 		}, this.loop);
 	}
 
-	private void checked(long askedNanos) {
+	private void checkSucceeded(long sentNanos) {
 		if (this.failing) {
-			LOG.info("configuration_confirmed", "ms", (this.ticker.nanos() - askedNanos) / 1_000_000);
+			LOG.info("configuration_confirmed", "ms", (this.ticker.nanos() - sentNanos) / 1_000_000);
 		}
 		this.failing = false;
-		recordConfirmation(askedNanos);
-		this.listener.accept(askedNanos);
+		recordConfirmation(sentNanos);
+		this.checkListener.accept(sentNanos);
 	}
 
 	/**
-	 * Learns that the configuration in force was the newest one at some time.
-	 * @param nanos the time, by the clock of this process
+	 * Called when the active configuration is known to have been the newest one at some
+	 * time.
+	 * @param nanos that time, as a reading of this process's ticker in nanoseconds
 	 */
 	public void recordConfirmation(long nanos) {
-		if (this.confirmedNanos.filter((before) -> before - nanos >= 0).isEmpty()) {
-			this.confirmedNanos = Optional.of(nanos);
-			this.renewal = this.terms.renewalAge(this.random.nextDouble());
+		if (this.lastConfirmedNanos.filter((previous) -> previous - nanos >= 0).isEmpty()) {
+			this.lastConfirmedNanos = Optional.of(nanos);
+			this.renewalAge = this.terms.renewalAge(this.random.nextDouble());
 		}
-		List.copyOf(this.waiting).forEach((request) -> {
+		List.copyOf(this.pending).forEach((request) -> {
 			if (confirmedWithin(request.maxAge)) {
-				end(request, true);
+				complete(request, true);
 			}
 		});
 	}
 
 	/**
-	 * Sets what learns of each check of this process that succeeds.
-	 * @param reader takes the time before the check was sent, by the clock of this
-	 * process
+	 * Sets the listener for successful checks of this process.
+	 * @param listener receives the ticker reading in nanoseconds from before the check
+	 * was sent
 	 */
-	public void onCheckSucceeded(LongConsumer reader) {
-		this.listener = Objects.requireNonNull(reader, "reader is null");
+	public void onCheckSucceeded(LongConsumer listener) {
+		this.checkListener = Objects.requireNonNull(listener, "listener is null");
 	}
 
-	private void failed(Throwable failure) {
+	private void checkFailed(Throwable failure) {
 		if (!this.failing) {
 			LOG.warning("configuration_not_confirmed", "age_ms", confirmationAge().map(Duration::toMillis).orElse(-1L),
-					"error", (failure != null) ? Failures.root(failure) : "not the newest");
+					"error",
+					(failure != null) ? Failures.root(failure) : "the active configuration is not the newest one");
 		}
 		this.failing = true;
-		List.copyOf(this.waiting).forEach((request) -> end(request, false));
+		List.copyOf(this.pending).forEach((request) -> complete(request, false));
 	}
 
-	private void end(Waiting request, boolean confirmed) {
-		if (this.waiting.remove(request)) {
+	private void complete(PendingRequest request, boolean confirmed) {
+		if (this.pending.remove(request)) {
 			request.timer.ifPresent(Timers.Timer::cancel);
 			request.outcome.accept(confirmed);
 		}
 	}
 
-	/**
-	 * A request that waits for a check.
-	 */
-	private static final class Waiting {
+	/** A request that waits for a check. */
+	private static final class PendingRequest {
 
 		private final Duration maxAge;
 
@@ -233,7 +237,7 @@
 
 		private Optional<Timers.Timer> timer = Optional.empty();
 
-		Waiting(Duration maxAge, Consumer<Boolean> outcome) {
+		PendingRequest(Duration maxAge, Consumer<Boolean> outcome) {
 			this.maxAge = maxAge;
 			this.outcome = outcome;
 		}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/Quota.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/Quota.java
@@ -1,10 +1,10 @@
 package org.ragworthook.gateway.account;
 
 /**
- * How many requests an account may send, over all instances together.
+ * The rate limit of an account, over all gateway instances together.
  *
  * @param perSecond requests a second, or 0 for no limit
- * @param burst requests beyond that rate that may come at once
+ * @param burst requests that may exceed that rate at once
  */
 public record Quota(double perSecond, double burst) {
 
@@ -12,19 +12,19 @@
 	public static final Quota UNLIMITED = new Quota(0, 0);
 
 	/**
-	 * Checks the values.
+	 * Checks the components.
 	 * @throws IllegalArgumentException if a value is negative or not a number
 	 */
 	public Quota {
 		if (!(perSecond >= 0) || !(burst >= 0)) {
-			throw new IllegalArgumentException(
-					"quota of " + perSecond + " requests a second with a burst of " + burst + " is negative");
+			throw new IllegalArgumentException("quota of " + perSecond + " requests a second with a burst of " + burst
+					+ " is negative or not a number");
 		}
 	}
 
 	/**
-	 * Tells whether there is a limit.
-	 * @return whether there is
+	 * Returns whether requests are limited.
+	 * @return whether there is a rate limit
 	 */
 	public boolean limited() {
 		return this.perSecond > 0;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/QuotaLedger.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/QuotaLedger.java
@@ -16,43 +16,50 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Holds accounts to their quotas over all entries, without a coordinator.
+ * Enforces account quotas across all entries without a coordinator.
  * <p>
- * Each entry keeps a token bucket of the whole quota and debits it by what it sends
- * itself and by what its peers report that they have sent, so the quota is available
- * wherever an account's callers arrive. While some entries are not heard, a bucket is
- * scaled down to the share of those that are: the silent ones may be alive behind a
- * partition and use theirs. In the time until its peers know, an entry takes no more than
- * its usual part of what is left, so that a crowd at all entries does not take the bucket
- * once at each. What passes the limit all the same is paid back. Used on the event loop.
+ * Each entry keeps a token bucket of the account's whole quota. It debits the bucket by
+ * the requests that it sends itself and by those that its peers report, so the whole
+ * quota is available wherever an account's callers arrive. While some entries are
+ * unreachable, the bucket is scaled down to the share of those that can be reached: the
+ * others may be alive behind a network partition and use their share. Until its peers
+ * know of its latest requests, an entry takes no more than its usual share of the
+ * remaining tokens; otherwise a burst that arrives at all entries would take the whole
+ * bucket at each of them. Requests beyond the limit are debited as debt and so delay
+ * later ones. Not thread-safe: used on the event loop.
  */
 public final class QuotaLedger {
 
 	/**
-	 * How long a changed count is reported: once or twice; the next one makes up for a
-	 * loss.
+	 * How long a changed count is included in reports: it goes out once or twice, and
+	 * since counts are cumulative, a later report makes up for a lost one.
 	 */
-	static final Duration REPORTED = Duration.ofMillis(150);
+	static final Duration REPORT_WINDOW = Duration.ofMillis(150);
 
-	/** Seconds of an account's rate that its bucket may fall below empty. */
+	/** Maximum debt of a bucket, in seconds of the account's rate. */
 	private static final double MAX_DEBT_SECONDS = 5;
 
-	/** Until peers know of a request after a report that is sent at once. */
+	/** Time until peers have received a report that is sent immediately. */
 	static final Duration REPORT_DELAY = Duration.ofMillis(40);
 
 	/**
-	 * Requests that an entry may take before its peers know, where as many are left for
-	 * each.
+	 * Requests that an entry may always take before its peers know of them, provided that
+	 * as many tokens remain for each entry.
 	 */
-	private static final int LEAST_PART = 2;
+	private static final int MIN_UNREPORTED = 2;
 
-	/** Over how much time an entry's part in an account's requests is averaged. */
-	private static final double PART_SECONDS = 2;
+	/**
+	 * Time constant of the moving average of an entry's share of the traffic, in seconds.
+	 */
+	private static final double TRAFFIC_DECAY_SECONDS = 2;
 
-	/** Requests of all entries that an entry has to know of to go by its own part. */
-	private static final double PART_WEIGHT = 4;
+	/**
+	 * Weight of the equal share in the estimate of an entry's traffic share, in requests
+	 * of all entries: with fewer observed requests, the equal share dominates.
+	 */
+	private static final double EQUAL_SHARE_WEIGHT = 4;
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final Ticker ticker;
 
@@ -60,58 +67,60 @@
 
 	private final Supplier<Accounts> accounts;
 
-	private final DoubleSupplier share;
+	private final DoubleSupplier reachableShare;
 
-	private final IntSupplier entries;
+	private final IntSupplier entryCount;
 
 	private final RandomGenerator random;
 
-	private Runnable flush = () -> {
+	private Runnable sendReport = () -> {
 	};
 
 	private final Map<Integer, Bucket> buckets = new HashMap<>();
 
-	private QuotaLedger(Ticker ticker, long startedMillis, Supplier<Accounts> accounts, DoubleSupplier share,
-			IntSupplier entries, RandomGenerator random) {
+	private QuotaLedger(Ticker ticker, long startedMillis, Supplier<Accounts> accounts, DoubleSupplier reachableShare,
+			IntSupplier entryCount, RandomGenerator random) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.startedMillis = startedMillis;
 		this.accounts = Objects.requireNonNull(accounts, "accounts is null");
-		this.share = Objects.requireNonNull(share, "share is null");
-		this.entries = Objects.requireNonNull(entries, "entries is null");
+		this.reachableShare = Objects.requireNonNull(reachableShare, "reachableShare is null");
+		this.entryCount = Objects.requireNonNull(entryCount, "entryCount is null");
 		this.random = Objects.requireNonNull(random, "random is null");
 	}
 
 	/**
-	 * Returns a ledger in which nothing has been used.
+	 * Returns a ledger with full buckets.
 	 * @param ticker the monotonic clock
-	 * @param startedMillis when this run of the process started, Unix time
-	 * @param accounts gives the accounts of the configuration in force
-	 * @param share gives the share of all entries that is heard, this one included; above
-	 * 0 up to 1
-	 * @param entries gives how many entries there are, this one included
-	 * @param random spreads the callers that are refused
+	 * @param startedMillis when this run of the process started, in milliseconds of Unix
+	 * time
+	 * @param accounts returns the accounts of the active configuration
+	 * @param reachableShare returns the fraction of all entries that can be reached, this
+	 * one included; above 0 and up to 1
+	 * @param entryCount returns the number of entries, this one included
+	 * @param random spreads the retry times of refused callers
 	 * @return a new ledger
 	 */
-	public static QuotaLedger of(Ticker ticker, long startedMillis, Supplier<Accounts> accounts, DoubleSupplier share,
-			IntSupplier entries, RandomGenerator random) {
-		return new QuotaLedger(ticker, startedMillis, accounts, share, entries, random);
+	public static QuotaLedger of(Ticker ticker, long startedMillis, Supplier<Accounts> accounts,
+			DoubleSupplier reachableShare, IntSupplier entryCount, RandomGenerator random) {
+		return new QuotaLedger(ticker, startedMillis, accounts, reachableShare, entryCount, random);
 	}
 
 	/**
-	 * Sets what tells the peers at once what was used.
+	 * Sets the task that reports usage to the peers immediately.
 	 * @param task sends a report
 	 */
 	public void onReportDue(Runnable task) {
-		this.flush = Objects.requireNonNull(task, "task is null");
+		this.sendReport = Objects.requireNonNull(task, "task is null");
 	}
 
 	/**
-	 * Takes a request out of an account's quota. It is to be followed by
-	 * {@link #recordSent(ClientAccount)} or {@link #release(ClientAccount)}.
+	 * Takes a token for a request from an account's bucket. Each token that was taken has
+	 * to be followed by {@link #recordSent(ClientAccount)} or
+	 * {@link #release(ClientAccount)}.
 	 * @param account the account
-	 * @return empty if it was taken, else after which time there is room for one at the
-	 * account's whole rate, since callers come back to any entry; spread, so that they do
-	 * not all come at once
+	 * @return empty if a token was taken, else the time after which to retry: when the
+	 * bucket has a token again at the account's full rate, since callers may retry at any
+	 * entry, plus random jitter so that refused callers do not all return at once
 	 */
 	public Optional<Duration> tryAcquire(ClientAccount account) {
 		if (!account.quota().limited()) {
@@ -119,43 +128,43 @@
 		}
 		Bucket bucket = bucket(account);
 		long now = this.ticker.nanos();
-		if (bucket.level >= 1 && takePart(bucket, now)) {
+		if (bucket.level >= 1 && tryTake(bucket, now)) {
 			return Optional.empty();
 		}
 		return Optional.of(retryAfter(bucket, account.quota()));
 	}
 
-	private boolean takePart(Bucket bucket, long now) {
-		int unknown = bucket.takenUnknown(now);
-		double part = bucket.part(now, this.entries.getAsInt());
-		if (unknown >= part) {
+	private boolean tryTake(Bucket bucket, long now) {
+		int unreported = bucket.unreported(now);
+		double allowance = bucket.allowance(now, this.entryCount.getAsInt());
+		if (unreported >= allowance) {
 			return false;
 		}
-		bucket.taken();
-		if (unknown + 1 >= part) {
-			this.flush.run();
+		bucket.take();
+		if (unreported + 1 >= allowance) {
+			this.sendReport.run();
 		}
 		return true;
 	}
 
 	private Duration retryAfter(Bucket bucket, Quota quota) {
 		double seconds = Math.max(0, 1 - bucket.level) / quota.perSecond();
-		double spread = Math.max(seconds, REPORT_DELAY.toNanos() / NANOS) * this.random.nextDouble();
-		return Duration.ofNanos((long) ((seconds + spread) * NANOS));
+		double spread = Math.max(seconds, REPORT_DELAY.toNanos() / NANOS_PER_SECOND) * this.random.nextDouble();
+		return Duration.ofNanos((long) ((seconds + spread) * NANOS_PER_SECOND));
 	}
 
 	/**
-	 * Tells how an account stands, for the log.
+	 * Describes the state of an account's quota for the log.
 	 * @param account the account
-	 * @return the requests that are left by this entry's view, and the share of the
-	 * entries that it hears
+	 * @return the remaining tokens in this entry's view and the fraction of entries that
+	 * can be reached, separated by a slash
 	 */
 	public String summary(ClientAccount account) {
-		return String.format(Locale.ROOT, "%.1f/%.2f", bucket(account).level, this.share.getAsDouble());
+		return String.format(Locale.ROOT, "%.1f/%.2f", bucket(account).level, this.reachableShare.getAsDouble());
 	}
 
 	/**
-	 * Returns a request that was taken and will not be sent to an upstream.
+	 * Returns the token of a request that will not be sent to an upstream.
 	 * @param account the account
 	 */
 	public void release(ClientAccount account) {
@@ -165,26 +174,27 @@
 	}
 
 	/**
-	 * Learns that a request that was taken is sent to an upstream; peers are told.
+	 * Called when a request whose token was taken is sent to an upstream. The request is
+	 * included in the reports to peers.
 	 * @param account the account
 	 */
 	public void recordSent(ClientAccount account) {
 		if (account.quota().limited()) {
 			Bucket bucket = bucket(account);
 			bucket.sent++;
-			bucket.sentNanos = Optional.of(this.ticker.nanos());
+			bucket.lastSentNanos = Optional.of(this.ticker.nanos());
 		}
 	}
 
 	/**
-	 * Returns what is to be told of accounts that have been used a moment ago.
-	 * @return their usage
+	 * Returns the usage to report to peers.
+	 * @return the usage of accounts that sent a request within the report window
 	 */
 	public List<Usage> recentUsage() {
-		long since = this.ticker.nanos() - REPORTED.toNanos();
+		long since = this.ticker.nanos() - REPORT_WINDOW.toNanos();
 		List<Usage> recent = new ArrayList<>();
 		this.buckets.forEach((tag, bucket) -> {
-			if (bucket.sentNanos.filter((sent) -> sent - since >= 0).isPresent()) {
+			if (bucket.lastSentNanos.filter((sent) -> sent - since >= 0).isPresent()) {
 				recent.add(new Usage(tag, bucket.sent, (int) Math.floor(bucket.level)));
 			}
 		});
@@ -192,11 +202,12 @@
 	}
 
 	/**
-	 * Learns what a peer has sent. A peer that was there before this run began has a
-	 * count from before; its view of the bucket is taken over with it.
-	 * @param peer the peer
-	 * @param peerStartedMillis when its run started, Unix time
-	 * @param usage what it tells
+	 * Debits an account by the requests that a peer reports. The count of a peer that
+	 * started before this process includes earlier requests, so its first report replaces
+	 * the token count here if it is lower, instead of being debited.
+	 * @param peer the peer's name
+	 * @param peerStartedMillis when the peer's run started, in milliseconds of Unix time
+	 * @param usage the reported usage
 	 */
 	public void applyPeerUsage(String peer, long peerStartedMillis, Usage usage) {
 		Optional<ClientAccount> account = this.accounts.get()
@@ -206,126 +217,129 @@
 			return;
 		}
 		Bucket bucket = bucket(account.get());
-		Count before = bucket.peers.get(peer);
-		boolean sameRun = before != null && before.startedMillis == peerStartedMillis;
-		// Reports may overtake each other, also those of two runs.
-		if (before != null && (sameRun ? usage.sent() <= before.sent : peerStartedMillis < before.startedMillis)) {
+		PeerCount previous = bucket.peerCounts.get(peer);
+		boolean sameRun = previous != null && previous.startedMillis == peerStartedMillis;
+		// Reports may arrive out of order, even those of two runs of the same peer.
+		if (previous != null
+				&& (sameRun ? usage.sent() <= previous.sent : peerStartedMillis < previous.startedMillis)) {
 			return;
 		}
-		bucket.peers.put(peer, new Count(peerStartedMillis, usage.sent()));
+		bucket.peerCounts.put(peer, new PeerCount(peerStartedMillis, usage.sent()));
 		if (!sameRun && peerStartedMillis < this.startedMillis) {
 			bucket.level = Math.min(bucket.level, usage.remaining());
 			return;
 		}
-		long added = usage.sent() - (sameRun ? before.sent : 0);
-		bucket.known(this.ticker.nanos(), 0, added);
+		long added = usage.sent() - (sameRun ? previous.sent : 0);
+		bucket.recordTraffic(this.ticker.nanos(), 0, added);
 		double lowest = -account.get().quota().perSecond() * MAX_DEBT_SECONDS;
 		bucket.level = Math.max(Math.min(bucket.level, lowest), bucket.level - added);
 	}
 
 	private Bucket bucket(ClientAccount account) {
 		long now = this.ticker.nanos();
-		double part = this.share.getAsDouble();
-		double capacity = Math.max(1, account.quota().burst() * part);
+		double reachableShare = this.reachableShare.getAsDouble();
+		double capacity = Math.max(1, account.quota().burst() * reachableShare);
 		Bucket bucket = this.buckets.computeIfAbsent(account.tag(), (tag) -> new Bucket(capacity, now));
-		double refill = (now - bucket.refilledNanos) / NANOS * account.quota().perSecond() * part;
+		double refill = (now - bucket.refilledNanos) / NANOS_PER_SECOND * account.quota().perSecond() * reachableShare;
 		bucket.level = Math.min(capacity, bucket.level + refill);
 		bucket.refilledNanos = now;
 		return bucket;
 	}
 
 	/**
-	 * What a process tells of an account that it has used a moment ago.
+	 * The usage of an account that a process reports to its peers.
 	 *
-	 * @param tag the account
-	 * @param sent requests that it has sent in this run
-	 * @param remaining requests that are left by its view of the bucket; negative after
-	 * an excess
+	 * @param tag the account's tag
+	 * @param sent number of requests that the process has sent in this run
+	 * @param remaining tokens in the process's view of the bucket; negative while in debt
 	 */
 	public record Usage(int tag, long sent, int remaining) {
 	}
 
 	/**
-	 * What a peer has told.
+	 * The last count that a peer has reported for an account.
 	 *
-	 * @param startedMillis the run of the peer
-	 * @param sent its requests in that run
+	 * @param startedMillis when the peer's run started, in milliseconds of Unix time
+	 * @param sent number of requests that the peer has sent in that run
 	 */
-	private record Count(long startedMillis, long sent) {
+	private record PeerCount(long startedMillis, long sent) {
 	}
 
-	/**
-	 * The quota of an account as this process sees it.
-	 */
+	/** The token bucket of an account in this process's view. */
 	private static final class Bucket {
 
-		private final Map<String, Count> peers = new HashMap<>();
+		private final Map<String, PeerCount> peerCounts = new HashMap<>();
 
 		private double level;
 
 		private long refilledNanos;
 
-		private long unknownSinceNanos;
+		private long unreportedSinceNanos;
 
-		private int unknown;
+		private int unreported;
 
-		/** Requests that this entry has sent, and all together, fading with time. */
-		private double own;
+		/**
+		 * Exponentially decayed counts of requests sent by this entry and by all entries.
+		 */
+		private double ownTraffic;
 
-		private double all;
+		private double totalTraffic;
 
-		private long knownNanos;
+		private long trafficUpdatedNanos;
 
 		private long sent;
 
-		private Optional<Long> sentNanos = Optional.empty();
+		private Optional<Long> lastSentNanos = Optional.empty();
 
 		Bucket(double level, long nowNanos) {
 			this.level = level;
 			this.refilledNanos = nowNanos;
-			this.knownNanos = nowNanos;
-			this.unknownSinceNanos = nowNanos;
+			this.trafficUpdatedNanos = nowNanos;
+			this.unreportedSinceNanos = nowNanos;
 		}
 
-		void taken() {
-			this.unknown++;
+		void take() {
+			this.unreported++;
 			this.level--;
 		}
 
 		/**
-		 * Returns how many requests were taken here of which the peers cannot know yet.
-		 * @param nowNanos the ticker's reading
-		 * @return the count
+		 * Returns the number of tokens taken here that the peers cannot know of yet.
+		 * @param nowNanos the ticker's reading in nanoseconds
+		 * @return the number of tokens
 		 */
-		int takenUnknown(long nowNanos) {
-			if (nowNanos - this.unknownSinceNanos >= REPORT_DELAY.toNanos()) {
-				known(nowNanos, this.unknown, this.unknown);
-				this.unknownSinceNanos = nowNanos;
-				this.unknown = 0;
+		int unreported(long nowNanos) {
+			if (nowNanos - this.unreportedSinceNanos >= REPORT_DELAY.toNanos()) {
+				recordTraffic(nowNanos, this.unreported, this.unreported);
+				this.unreportedSinceNanos = nowNanos;
+				this.unreported = 0;
 			}
-			return this.unknown;
+			return this.unreported;
 		}
 
 		/**
-		 * Returns how much of what is left this entry may take before its peers know: by
-		 * its part in the requests of late, or an equal part while there were few.
-		 * @param nowNanos the ticker's reading
-		 * @param entries how many entries there are
-		 * @return requests
+		 * Returns how many tokens this entry may take before its peers know of them. The
+		 * remaining tokens are divided by the entries' shares of recent traffic, or
+		 * equally while there is little traffic.
+		 * @param nowNanos the ticker's reading in nanoseconds
+		 * @param entryCount the number of entries
+		 * @return the number of tokens, including those already taken but not reported
 		 */
-		double part(long nowNanos, int entries) {
-			known(nowNanos, 0, 0);
-			double part = (this.own + PART_WEIGHT / entries) / (this.all + PART_WEIGHT);
-			double left = this.level + this.unknown;
-			double equal = Math.ceil(LEAST_PART * left / entries);
-			return Math.max(Math.min(LEAST_PART, equal), Math.ceil(part * left));
+		double allowance(long nowNanos, int entryCount) {
+			recordTraffic(nowNanos, 0, 0);
+			double trafficShare = (this.ownTraffic + EQUAL_SHARE_WEIGHT / entryCount)
+					/ (this.totalTraffic + EQUAL_SHARE_WEIGHT);
+			double available = this.level + this.unreported;
+			double equalShare = Math.ceil(MIN_UNREPORTED * available / entryCount);
+			return Math.max(Math.min(MIN_UNREPORTED, equalShare), Math.ceil(trafficShare * available));
 		}
 
-		void known(long nowNanos, long ownMore, long allMore) {
-			double fading = Math.exp(-(nowNanos - this.knownNanos) / (PART_SECONDS * NANOS));
-			this.own = this.own * fading + ownMore;
-			this.all = this.all * fading + allMore;
-			this.knownNanos = nowNanos;
+		void recordTraffic(long nowNanos, long ownCount, long totalCount) {
+			double decay = Math
+				.exp(-(nowNanos - this.trafficUpdatedNanos) / (TRAFFIC_DECAY_SECONDS * NANOS_PER_SECOND));
+			this.ownTraffic = this.ownTraffic * decay + ownCount;
+			this.totalTraffic = this.totalTraffic * decay + totalCount;
+			this.trafficUpdatedNanos = nowNanos;
 		}
 
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/QuotaReservation.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/QuotaReservation.java
@@ -5,26 +5,26 @@
 import java.util.Optional;
 
 /**
- * One request's part of the quota of its account. It is used up when the request is sent
- * to an upstream for the first time, and given back if it never is. Used on the event
- * loop.
+ * The token that one request has taken from its account's quota. Committed when the
+ * request is first sent to an upstream, and released if it never is. Not thread-safe:
+ * used on the event loop.
  */
 public final class QuotaReservation {
 
-	private final Runnable onSent;
+	private final Runnable onCommit;
 
-	private final Runnable onUnsent;
+	private final Runnable onRelease;
 
 	private boolean settled;
 
-	private QuotaReservation(Runnable onSent, Runnable onUnsent) {
-		this.onSent = onSent;
-		this.onUnsent = onUnsent;
+	private QuotaReservation(Runnable onCommit, Runnable onRelease) {
+		this.onCommit = onCommit;
+		this.onRelease = onRelease;
 	}
 
 	/**
-	 * Returns the part of a request that belongs to no account.
-	 * @return a part of no quota
+	 * Returns a reservation for a request that belongs to no account.
+	 * @return a reservation of no quota
 	 */
 	public static QuotaReservation unlimited() {
 		return new QuotaReservation(() -> {
@@ -33,29 +33,31 @@
 	}
 
 	/**
-	 * Asks for a request to be let in.
+	 * Reserves quota for a request.
 	 * @param ledger the quotas
-	 * @param account whose request it is
-	 * @return the request's part, or after which time there is room for one
+	 * @param account the account of the request
+	 * @return the reservation, or the time after which to retry
 	 */
 	public static Outcome reserve(QuotaLedger ledger, ClientAccount account) {
 		Objects.requireNonNull(ledger, "ledger is null");
-		Optional<Duration> wait = ledger.tryAcquire(Objects.requireNonNull(account, "account is null"));
-		return new Outcome(new QuotaReservation(() -> ledger.recordSent(account), () -> ledger.release(account)), wait);
+		Optional<Duration> retryAfter = ledger.tryAcquire(Objects.requireNonNull(account, "account is null"));
+		return new Outcome(new QuotaReservation(() -> ledger.recordSent(account), () -> ledger.release(account)),
+				retryAfter);
 	}
 
 	/**
-	 * Learns that the request is sent to an upstream.
+	 * Called when the request is sent to an upstream. Calls after the first call to this
+	 * method or {@link #release()} have no effect.
 	 */
 	public void commit() {
-		settle(this.onSent);
+		settle(this.onCommit);
 	}
 
 	/**
-	 * Learns that the request has ended.
+	 * Called when the request has ended. Returns the token unless the request was sent.
 	 */
 	public void release() {
-		settle(this.onUnsent);
+		settle(this.onRelease);
 	}
 
 	private void settle(Runnable task) {
@@ -66,10 +68,11 @@
 	}
 
 	/**
-	 * Whether a request is within its quota.
+	 * The outcome of reserving quota for a request.
 	 *
-	 * @param reservation the request's part, to be used only if it is let in
-	 * @param retryAfter empty if it is let in, else after which time there is room
+	 * @param reservation the reservation, to be used only if the request is admitted
+	 * @param retryAfter empty if the request is admitted, else the time after which to
+	 * retry
 	 */
 	public record Outcome(QuotaReservation reservation, Optional<Duration> retryAfter) {
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/account/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/account/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Client accounts: who calls, how long the keys that are known may be relied on, and how
- * much an account may ask for.
+ * Client accounts: authentication by API key, how long the configured keys may be relied
+ * on without confirmation, and rate limits. An <i>entry</i> is a gateway process that
+ * accepts callers' requests.
  */
 package org.ragworthook.gateway.account;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/account/AccessControlTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/account/AccessControlTests.java
@@ -15,9 +15,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-/**
- * Which account a caller is taken for.
- */
+/** Tests which account a caller's API key is mapped to. */
 class AccessControlTests {
 
 	private final ManualTime time = ManualTime.of();
@@ -31,11 +29,11 @@
 
 	private boolean connected = true;
 
-	private Runnable onCheck = () -> {
+	private Runnable duringCheck = () -> {
 	};
 
 	private final ConfigurationLease lease = ConfigurationLease.of(this.time, this.time, Runnable::run, () -> {
-		this.onCheck.run();
+		this.duringCheck.run();
 		return this.connected ? CompletableFuture.completedFuture(true)
 				: CompletableFuture.failedFuture(new IllegalStateException("cut off"));
 	}, LeaseTerms.ofRevocationBound(Duration.ofSeconds(5)), new Random(1));
@@ -46,7 +44,7 @@
 		return new ClientAccount(name, Optional.empty(), Quota.UNLIMITED);
 	}
 
-	private AccessDecision identify(List<String> keys) {
+	private AccessDecision authenticate(List<String> keys) {
 		this.outcomes.clear();
 		this.control.authenticate(keys, this.outcomes::add);
 		return this.outcomes.get(0);
@@ -54,8 +52,8 @@
 
 	@ParameterizedTest
 	@CsvSource({ "key-1, acme", "key-2, acme", "key-3, zenith" })
-	void shouldFindTheHolderOfAKey(String key, String holder) {
-		assertThat(identify(List.of(key)).account().map(ClientAccount::name)).isEqualTo(Optional.of(holder));
+	void shouldGrantTheAccountThatHoldsTheKey(String key, String holder) {
+		assertThat(authenticate(List.of(key)).account().map(ClientAccount::name)).isEqualTo(Optional.of(holder));
 	}
 
 	static List<List<String>> badKeys() {
@@ -66,29 +64,32 @@
 
 	@ParameterizedTest
 	@MethodSource("badKeys")
-	void shouldDenyWhatIsNotOneKeyOfOneAccount(List<String> keys) {
-		assertThat(identify(keys).verdict()).isEqualTo(AccessDecision.Verdict.DENIED);
+	void shouldDenyUnlessExactlyOneKeyOfOneAccount(List<String> keys) {
+		assertThat(authenticate(keys).verdict()).isEqualTo(AccessDecision.Verdict.DENIED);
 	}
 
-	/** Guards against denying a key that was added while this entry heard of nothing. */
+	/** Guards against rejecting a key that was added since the last confirmation. */
 	@Test
-	void shouldLookBeforeItDeniesAKey() {
-		identify(List.of("key-1"));
+	void shouldConfirmTheConfigurationBeforeDenyingAKey() {
+		authenticate(List.of("key-1"));
 		this.time.advance(Duration.ofMillis(2_100));
-		this.onCheck = () -> this.accounts = Accounts.builder().add(account("acme"), List.of("fresh")).build();
-		assertThat(identify(List.of("fresh")).verdict()).isEqualTo(AccessDecision.Verdict.GRANTED);
+		this.duringCheck = () -> this.accounts = Accounts.builder().add(account("acme"), List.of("fresh")).build();
+		assertThat(authenticate(List.of("fresh")).verdict()).isEqualTo(AccessDecision.Verdict.GRANTED);
 	}
 
-	/** Guards against a 401 of an entry that is cut off and cannot know. */
+	/**
+	 * Guards against a 401 from an entry that is cut off from the platform and therefore
+	 * cannot know whether the key is valid.
+	 */
 	@Test
-	void shouldNotDenyWhileItCannotLook() {
-		identify(List.of("key-1"));
+	void shouldNotDenyWhileTheConfigurationCannotBeConfirmed() {
+		authenticate(List.of("key-1"));
 		this.connected = false;
 		this.time.advance(Duration.ofMillis(2_100));
-		assertThat(identify(List.of("fresh")).verdict()).isEqualTo(AccessDecision.Verdict.UNCONFIRMED);
-		assertThat(identify(List.of("key-1")).verdict()).isEqualTo(AccessDecision.Verdict.GRANTED);
+		assertThat(authenticate(List.of("fresh")).verdict()).isEqualTo(AccessDecision.Verdict.UNCONFIRMED);
+		assertThat(authenticate(List.of("key-1")).verdict()).isEqualTo(AccessDecision.Verdict.GRANTED);
 		this.time.advance(Duration.ofMillis(2_500));
-		assertThat(identify(List.of("key-1")).verdict()).isEqualTo(AccessDecision.Verdict.UNCONFIRMED);
+		assertThat(authenticate(List.of("key-1")).verdict()).isEqualTo(AccessDecision.Verdict.UNCONFIRMED);
 		assertThat(this.control.unavailable()).isTrue();
 	}
 
@@ -101,7 +102,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "-1, 0", "0, -1", "NaN, 0" })
-	void shouldRefuseAQuotaThatIsNone(double perSecond, double burst) {
+	void shouldRejectANegativeOrUndefinedQuota(double perSecond, double burst) {
 		Optional<Quota> quota;
 		try {
 			quota = Optional.of(new Quota(perSecond, burst));
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/account/ConfigurationLeaseTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/account/ConfigurationLeaseTests.java
@@ -17,9 +17,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-/**
- * How long an entry relies on the keys that it knows.
- */
+/** Tests how long an entry relies on the API keys of its configuration. */
 class ConfigurationLeaseTests {
 
 	private static final Duration BOUND = Duration.ofMillis(5_000);
@@ -30,76 +28,79 @@
 
 	private final Deque<CompletableFuture<Boolean>> checks = new ArrayDeque<>();
 
-	private int made;
+	private int checkCount;
 
 	private final List<Boolean> outcomes = new ArrayList<>();
 
 	private final ConfigurationLease lease = ConfigurationLease.of(this.time, this.time, Runnable::run, () -> {
-		this.made++;
+		this.checkCount++;
 		CompletableFuture<Boolean> check = new CompletableFuture<>();
 		this.checks.add(check);
 		return check;
 	}, TERMS, new Random(1));
 
-	private void use() {
+	private void awaitConfirmation() {
 		this.lease.awaitConfirmation(this.lease.validity(), this.outcomes::add);
 	}
 
-	private void answer(boolean newest) {
+	private void completeCheck(boolean newest) {
 		this.checks.remove().complete(newest);
 	}
 
-	private void fail() {
+	private void failCheck() {
 		this.checks.remove().completeExceptionally(new IllegalStateException("cut off"));
 	}
 
 	private void confirm() {
-		use();
-		answer(true);
+		awaitConfirmation();
+		completeCheck(true);
 		this.outcomes.clear();
 	}
 
 	@Test
-	void shouldLetTheFirstRequestWaitForACheck() {
-		use();
-		use();
+	void shouldHoldRequestsUntilTheFirstCheck() {
+		awaitConfirmation();
+		awaitConfirmation();
 		assertThat(this.outcomes).isEmpty();
-		assertThat(this.made).isEqualTo(1);
-		answer(true);
+		assertThat(this.checkCount).isEqualTo(1);
+		completeCheck(true);
 		assertThat(this.outcomes).containsExactly(true, true);
 	}
 
-	/** Guards against counting from the answer, which may come long after the look. */
+	/**
+	 * Guards against measuring the validity from the response, which may arrive long
+	 * after the platform read the configuration.
+	 */
 	@ParameterizedTest
 	@CsvSource({ "0, 4500, true", "0, 4501, false", "1200, 3300, true", "1200, 3301, false" })
-	void shouldCountFromBeforeTheCheckWasSent(long answerAfter, long thenAfter, boolean valid) {
-		use();
-		this.time.advance(Duration.ofMillis(Math.min(answerAfter, 200)));
-		this.time.advance(Duration.ofMillis(Math.max(0, answerAfter - 200)));
-		answer(true);
+	void shouldMeasureValidityFromBeforeTheCheckWasSent(long answerAfterMillis, long elapsedMillis, boolean valid) {
+		awaitConfirmation();
+		this.time.advance(Duration.ofMillis(Math.min(answerAfterMillis, 200)));
+		this.time.advance(Duration.ofMillis(Math.max(0, answerAfterMillis - 200)));
+		completeCheck(true);
 		this.outcomes.clear();
-		this.time.advance(Duration.ofMillis(thenAfter));
-		use();
+		this.time.advance(Duration.ofMillis(elapsedMillis));
+		awaitConfirmation();
 		if (!valid) {
-			fail();
+			failCheck();
 		}
 		assertThat(this.outcomes).containsExactly(valid);
 	}
 
-	/** Guards against a revoked key that is accepted for longer than the bound. */
+	/** Guards against accepting a revoked key for longer than the bound. */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 1_000, 2_000, 4_499 })
-	void shouldNotOutliveTheBoundWhileCutOff(long cutAfter) {
+	void shouldExpireWithinTheBoundWhileCutOff(long cutOffMillis) {
 		confirm();
-		long revoked = cutAfter;
-		this.time.advance(Duration.ofMillis(cutAfter));
-		for (long at = cutAfter; at < revoked + 10_000; at += 50) {
+		long revokedMillis = cutOffMillis;
+		this.time.advance(Duration.ofMillis(cutOffMillis));
+		for (long atMillis = cutOffMillis; atMillis < revokedMillis + 10_000; atMillis += 50) {
 			this.outcomes.clear();
-			use();
+			awaitConfirmation();
 			while (!this.checks.isEmpty()) {
-				fail();
+				failCheck();
 			}
-			if (at > revoked + BOUND.toMillis()) {
+			if (atMillis > revokedMillis + BOUND.toMillis()) {
 				assertThat(this.outcomes).containsExactly(false);
 			}
 			this.time.advance(Duration.ofMillis(50));
@@ -107,107 +108,113 @@
 		assertThat(this.lease.unavailable()).isTrue();
 	}
 
-	/** Guards against a process that wakes from a pause and goes by what it knew. */
+	/**
+	 * Guards against a process that resumes after a pause and uses an outdated
+	 * configuration.
+	 */
 	@Test
-	void shouldNotBeValidAfterAPause() {
+	void shouldBeInvalidAfterALongPauseOfTheProcess() {
 		confirm();
 		this.time.advance(Duration.ofMinutes(2));
-		use();
+		awaitConfirmation();
 		assertThat(this.outcomes).isEmpty();
-		fail();
+		failCheck();
 		assertThat(this.outcomes).containsExactly(false);
 	}
 
 	@Test
-	void shouldRenewBeforeItRunsOut() {
+	void shouldRenewBeforeExpiry() {
 		confirm();
 		for (int i = 0; i < 100; i++) {
 			this.time.advance(Duration.ofMillis(100));
-			use();
+			awaitConfirmation();
 			while (!this.checks.isEmpty()) {
-				answer(true);
+				completeCheck(true);
 			}
 		}
 		assertThat(this.outcomes).doesNotContain(false);
-		assertThat(this.made).isAtMost(6);
+		assertThat(this.checkCount).isAtMost(6);
 	}
 
 	@Test
-	void shouldMakeNoCallsWhileItIsNotUsed() {
+	void shouldMakeNoCallsWhileIdle() {
 		confirm();
 		this.time.advance(Duration.ofMinutes(10));
-		assertThat(this.made).isEqualTo(1);
+		assertThat(this.checkCount).isEqualTo(1);
 		assertThat(this.lease.unavailable()).isFalse();
 	}
 
-	/** Guards against callers who wait at an entry that is known to be cut off. */
+	/** Guards against holding callers at an entry that is known to be cut off. */
 	@Test
-	void shouldRefuseAtOnceWhileChecksFail() {
-		use();
-		fail();
+	void shouldFailImmediatelyWhileChecksFail() {
+		awaitConfirmation();
+		failCheck();
 		this.outcomes.clear();
-		use();
+		awaitConfirmation();
 		assertThat(this.outcomes).containsExactly(false);
 	}
 
 	@Test
-	void shouldNotLetARequestWaitForLong() {
-		use();
+	void shouldTimeOutAPendingRequest() {
+		awaitConfirmation();
 		this.time.advance(TERMS.maxWait());
 		assertThat(this.outcomes).containsExactly(false);
-		answer(true);
+		completeCheck(true);
 		assertThat(this.outcomes).hasSize(1);
 	}
 
-	/** Guards against a storm of calls by callers with keys that nobody knows. */
+	/** Guards against a flood of platform calls caused by callers with unknown keys. */
 	@Test
-	void shouldBoundTheChecksThatUnknownKeysCause() {
+	void shouldBoundTheChecksCausedByUnknownKeys() {
 		for (int i = 0; i < 10_000; i++) {
 			this.lease.awaitConfirmation(this.lease.maxDenialAge(), this.outcomes::add);
 			while (!this.checks.isEmpty()) {
-				answer(true);
+				completeCheck(true);
 			}
 			this.time.advance(Duration.ofMillis(1));
 		}
-		assertThat(this.made).isAtMost(6);
+		assertThat(this.checkCount).isAtMost(6);
 	}
 
 	@Test
-	void shouldCheckSeldomWhileChecksFail() {
+	void shouldBackOffWhileChecksFail() {
 		for (int i = 0; i < 1_000; i++) {
-			use();
+			awaitConfirmation();
 			while (!this.checks.isEmpty()) {
-				fail();
+				failCheck();
 			}
 			this.time.advance(Duration.ofMillis(1));
 		}
-		assertThat(this.made).isAtMost(5);
+		assertThat(this.checkCount).isAtMost(5);
 	}
 
-	/** Guards against a configuration that cannot be decoded and counts as confirmed. */
+	/** Guards against counting a configuration that cannot be decoded as confirmed. */
 	@Test
-	void shouldNotBeConfirmedByAnOlderConfiguration() {
-		use();
-		answer(false);
+	void shouldNotBeConfirmedByAnOutdatedConfiguration() {
+		awaitConfirmation();
+		completeCheck(false);
 		assertThat(this.outcomes).containsExactly(false);
 		assertThat(this.lease.confirmationAge()).isEqualTo(Optional.empty());
 	}
 
-	/** Guards against an entry that nobody uses any longer and that never comes back. */
+	/**
+	 * Guards against an entry that is taken out of service, receives no more requests and
+	 * therefore never checks again.
+	 */
 	@Test
-	void shouldComeBackThoughNoRequestComes() {
-		use();
-		fail();
+	void shouldRecoverWithoutRequests() {
+		awaitConfirmation();
+		failCheck();
 		this.time.advance(TERMS.retryDelay());
 		assertThat(this.lease.unavailable()).isTrue();
-		answer(true);
+		completeCheck(true);
 		assertThat(this.lease.unavailable()).isFalse();
 	}
 
 	@Test
-	void shouldHoldABoundedNumberOfRequests() {
-		for (int i = 0; i < ConfigurationLease.MAX_WAITING + 10; i++) {
-			use();
+	void shouldBoundPendingRequests() {
+		for (int i = 0; i < ConfigurationLease.MAX_PENDING + 10; i++) {
+			awaitConfirmation();
 		}
 		assertThat(this.outcomes).hasSize(10);
 	}
