--- /dev/null
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobRequestHandler.java
@@ -0,0 +1,208 @@
+package org.ragworthook.gateway.online;
+
+import java.time.Duration;
+import java.util.Base64;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.Executor;
+import java.util.function.Supplier;
+
+import org.ragworthook.core.error.ErrorCode;
+import org.ragworthook.core.error.Failures;
+import org.ragworthook.core.error.JobException;
+import org.ragworthook.core.log.EventLog;
+import org.ragworthook.gateway.dialect.JobCall;
+import org.ragworthook.gateway.dialect.JobFormat;
+import org.ragworthook.gateway.job.Job;
+import org.ragworthook.gateway.job.JobIds;
+import org.ragworthook.gateway.job.JobItem;
+import org.ragworthook.gateway.job.JobReader;
+import org.ragworthook.gateway.job.JobStore;
+import org.ragworthook.gateway.route.Route;
+
+/**
+ * Handles the requests about batch jobs. A success is sent only for what the platform's
+ * store has; while the store does not answer, callers are asked to retry.
+ */
+final class JobRequestHandler {
+
+	private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
+
+	private static final int MAX_ITEMS = 200;
+
+	private static final int MAX_ID_LENGTH = 100;
+
+	private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(500);
+
+	private final JobStore store;
+
+	private final JobReader reader;
+
+	private final JobFormat format;
+
+	private final JobAdmission admission;
+
+	private final Executor loop;
+
+	private final Supplier<Long> wallMillis;
+
+	JobRequestHandler(JobStore store, JobReader reader, JobFormat format, JobAdmission admission, Executor loop,
+			Supplier<Long> wallMillis) {
+		this.store = Objects.requireNonNull(store, "store is null");
+		this.reader = Objects.requireNonNull(reader, "reader is null");
+		this.format = Objects.requireNonNull(format, "format is null");
+		this.admission = Objects.requireNonNull(admission, "admission is null");
+		this.loop = Objects.requireNonNull(loop, "loop is null");
+		this.wallMillis = Objects.requireNonNull(wallMillis, "wallMillis is null");
+	}
+
+	JobFormat format() {
+		return this.format;
+	}
+
+	/**
+	 * Handles the submission of a job.
+	 * @param callerJobId the job's id, as its caller chose it
+	 * @param account the account that the job belongs to, or empty for none
+	 * @param host the host that the job was submitted to
+	 * @param path the path that the job was submitted to
+	 * @param route the job's route
+	 * @param version the version of the configuration that the route is from
+	 * @param body the body of the request, which states the items
+	 * @param response receives the response
+	 */
+	void submit(String callerJobId, Optional<String> account, String host, String path, Route route, long version,
+			byte[] body, JobResponse response) {
+		String jobId = JobIds.qualified(account, callerJobId);
+		List<JobItem> items;
+		try {
+			items = this.format.items(body);
+			validate(callerJobId, items);
+		}
+		catch (JobException ex) {
+			LOG.info("job_malformed", "job", jobId, "error", ex.getMessage());
+			response.status(ex.code().httpStatus(), ex.getMessage(), Optional.empty());
+			return;
+		}
+		long tokens = items.stream().mapToLong(JobItem::tokens).sum();
+		Job job = new Job(jobId, account, host, path, this.wallMillis.get(), version, items.size(), 0, tokens, false,
+				items);
+		this.admission.submit(job, route, response);
+	}
+
+	private static void validate(String jobId, List<JobItem> items) {
+		Set<String> ids = new HashSet<>();
+		items.forEach((item) -> ids.add(item.id()));
+		if (jobId.length() > MAX_ID_LENGTH) {
+			throw new JobException(ErrorCode.JOB_MALFORMED,
+					"the job's id is longer than " + MAX_ID_LENGTH + " characters");
+		}
+		if (items.isEmpty() || items.size() > MAX_ITEMS) {
+			throw new JobException(ErrorCode.JOB_MALFORMED,
+					"the job has " + items.size() + " items; 1 to " + MAX_ITEMS + " are taken");
+		}
+		if (ids.size() < items.size()) {
+			throw new JobException(ErrorCode.JOB_MALFORMED, "two items of the job have the same id");
+		}
+	}
+
+	/**
+	 * Handles a request about a job that was submitted before.
+	 * @param received the request, with the job's id as its caller chose it
+	 * @param account the account of the caller, or empty for none
+	 * @param wait how long a read of results may wait for new ones
+	 * @param response receives the response
+	 */
+	void handle(JobCall received, Optional<String> account, Duration wait, JobResponse response) {
+		JobCall call = new JobCall(received.action(), JobIds.qualified(account, received.jobId()), received.position(),
+				received.itemId());
+		switch (call.action()) {
+			case RESULTS -> results(call, wait, response);
+			case ITEM_BODY -> body(call, response);
+			case END -> end(call, response);
+			case MALFORMED -> response.status(400, "the call cannot be understood", Optional.empty());
+		}
+	}
+
+	private void results(JobCall call, Duration wait, JobResponse response) {
+		this.reader.results(call.jobId(), call.position(), wait).whenCompleteAsync((page, failure) -> {
+			if (failure != null) {
+				storeFailed(call, failure, response);
+			}
+			else if (page.isEmpty()) {
+				notFound(call, response);
+			}
+			else {
+				response.body(this.format.results(page.get().total(), page.get().position(), page.get().outcomes()),
+						"application/json");
+			}
+		}, this.loop);
+	}
+
+	private void body(JobCall call, JobResponse response) {
+		this.reader.body(call.jobId(), call.itemId()).whenCompleteAsync((body, failure) -> {
+			if (failure != null) {
+				storeFailed(call, failure, response);
+			}
+			else if (body.isEmpty()) {
+				notFound(call, response);
+			}
+			else {
+				response.body(Base64.getDecoder().decode(body.get()), "application/octet-stream");
+			}
+		}, this.loop);
+	}
+
+	private void end(JobCall call, JobResponse response) {
+		this.store.end(call.jobId()).whenCompleteAsync((found, failure) -> {
+			if (failure != null) {
+				storeFailed(call, failure, response);
+			}
+			else if (found) {
+				LOG.info("job_end_accepted", "job", call.jobId());
+				this.admission.ended(call.jobId());
+				response.status(200, "", Optional.empty());
+			}
+			else {
+				notFound(call, response);
+			}
+		}, this.loop);
+	}
+
+	private static void notFound(JobCall call, JobResponse response) {
+		LOG.info("job_not_found", "job", call.jobId(), "action", call.action(), "item", call.itemId());
+		response.status(404, "there is no such job or item", Optional.empty());
+	}
+
+	private static void storeFailed(JobCall call, Throwable failure, JobResponse response) {
+		LOG.warning("job_call_failed", "job", call.jobId(), "action", call.action(), "error", Failures.root(failure));
+		response.status(503, "the store does not answer", Optional.of(DEFAULT_RETRY_AFTER));
+	}
+
+	/**
+	 * Receives the response to a request about batch jobs.
+	 */
+	interface JobResponse {
+
+		/**
+		 * Sends a status without a result.
+		 * @param status the HTTP status
+		 * @param detail a message for the caller
+		 * @param retryAfter the time after which the caller may retry, or empty for no
+		 * {@code Retry-After}
+		 */
+		void status(int status, String detail, Optional<Duration> retryAfter);
+
+		/**
+		 * Sends a result with status 200.
+		 * @param body the body
+		 * @param type the body's media type
+		 */
+		void body(byte[] body, String type);
+
+	}
+
+}
