--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemOrder.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemOrder.java
@@ -5,80 +5,85 @@
 import java.util.List;
 
 /**
- * Decides which items get the slots while there are more items than slots.
+ * Orders batch items by priority for slots while there are more items than slots.
  * <p>
- * By age alone, an overload that lasts makes every item late: the slots go to items whose
- * time is over, and those behind them run out of theirs. So items that can still be there
- * in time come first; then those that are late anyway. One that is late by as much again
- * as it had goes first, since its caller must not wait for ever.
+ * Ordering by age alone makes every item late during a lasting overload: the slots go to
+ * items that are already late, and those behind them become late in turn. So items that
+ * can still meet their due time come first, then those that are late anyway. An item that
+ * is overdue by more than its whole completion target is ranked with the first group
+ * again, since its caller must not wait for ever.
  * <p>
- * Among items that can be in time, those that are furthest come first, then the earliest
- * due. Bursts of online requests take most slots away every few seconds. By due time
- * alone an item that is nearly done loses its slot to one that is due a little earlier,
- * both are late, and what was done of them is wasted. Played with bursts and an outage,
- * 419 of 1,000 items are in time without this and 496 with it.
+ * Within a group the item with the most events comes first, then the earliest due. Bursts
+ * of online requests take most slots away every few seconds. By due time alone an item
+ * that is nearly done loses its slot to one that is due a little earlier, both are late,
+ * and the work done on them is wasted. In a simulation with bursts and an outage, 419 of
+ * 1,000 items are in time with the due time alone as second criterion, and 496 with this
+ * order.
  */
 final class ItemOrder {
 
 	/**
-	 * What it takes to list a finished item that is nearly due: {@link ListingRule}'s
-	 * gathering, a round of the runner, one write, and a caller that reads twice a
-	 * second. With the 2 s of a usual gathering 396 of 1,000 played items were in time,
-	 * with this 419.
+	 * Time from the end of an item that is nearly due until its caller has read the
+	 * result: the delay of {@link PublishDelay}, one round of the runner, one store
+	 * write, and a caller that polls twice a second. In a simulation 419 of 1,000 items
+	 * were in time with this value, and 396 with the 2 s of a regular publishing delay.
 	 */
-	private static final Duration LISTING = Duration.ofMillis(500);
+	private static final Duration PUBLISH_LATENCY = Duration.ofMillis(500);
 
-	/** The weight of the newest item in what is usual. */
-	private static final double NEWEST = 0.1;
+	/** Weight of the newest item in the moving averages. */
+	private static final double SMOOTHING_FACTOR = 0.1;
 
-	private double usualMillis;
+	private double averageMillis;
 
-	private double usualEvents;
+	private double averageEvents;
 
 	/**
-	 * Learns how long an item took.
-	 * @param millis from its first start to its end, pauses included, milliseconds
-	 * @param events how many events it has
+	 * Adds a completed item to the moving averages.
+	 * @param durationMillis from its first start to its end, pauses included,
+	 * milliseconds
+	 * @param events the number of its events
 	 */
-	void finished(long millis, long events) {
-		boolean first = this.usualEvents == 0;
-		this.usualMillis = first ? millis : this.usualMillis + NEWEST * (millis - this.usualMillis);
-		this.usualEvents = Math.max(1, first ? events : this.usualEvents + NEWEST * (events - this.usualEvents));
+	void recordCompletion(long durationMillis, long events) {
+		boolean first = this.averageEvents == 0;
+		this.averageMillis = first ? durationMillis
+				: this.averageMillis + SMOOTHING_FACTOR * (durationMillis - this.averageMillis);
+		this.averageEvents = Math.max(1,
+				first ? events : this.averageEvents + SMOOTHING_FACTOR * (events - this.averageEvents));
 	}
 
 	/**
-	 * Returns how long an item is likely to take from now.
-	 * @param lastEvent the last event that is there, or 0
-	 * @return milliseconds, 0 as long as nothing is known
+	 * Estimates how long an item still has to run.
+	 * @param lastEvent the number of the last event received, or 0
+	 * @return milliseconds; 0 until an item has completed
 	 */
-	long neededMillis(long lastEvent) {
-		if (this.usualEvents == 0) {
+	long remainingMillis(long lastEvent) {
+		if (this.averageEvents == 0) {
 			return 0;
 		}
-		return (long) (this.usualMillis * Math.max(0, 1 - lastEvent / this.usualEvents));
+		return (long) (this.averageMillis * Math.max(0, 1 - lastEvent / this.averageEvents));
 	}
 
 	/**
-	 * Puts items in the order in which they get slots; they give them back in the
-	 * opposite one.
-	 * @param runs the items
+	 * Sorts items by descending priority: the first gets a slot first, and the last is
+	 * preempted first.
+	 * @param runs the items; sorted in place
 	 * @param nowMillis the time of day, Unix milliseconds
 	 */
-	void arrange(List<ItemRun> runs, long nowMillis) {
+	void sort(List<ItemRun> runs, long nowMillis) {
 		runs.sort(comparator(nowMillis));
 	}
 
 	Comparator<ItemRun> comparator(long nowMillis) {
-		return Comparator.comparing((ItemRun run) -> hopeless(run, nowMillis))
+		return Comparator.comparing((ItemRun run) -> deprioritized(run, nowMillis))
 			.thenComparing(Comparator.comparingLong(ItemRun::lastEvent).reversed())
 			.thenComparingLong(ItemRun::dueMillis);
 	}
 
-	private boolean hopeless(ItemRun run, long nowMillis) {
-		long left = run.dueMillis() - nowMillis;
-		boolean late = left < neededMillis(run.lastEvent()) + LISTING.toMillis();
-		boolean waitedTwice = -left > run.dueMillis() - run.job().acceptedMillis();
-		return late && !waitedTwice;
+	private boolean deprioritized(ItemRun run, long nowMillis) {
+		long millisUntilDue = run.dueMillis() - nowMillis;
+		boolean late = millisUntilDue < remainingMillis(run.lastEvent()) + PUBLISH_LATENCY.toMillis();
+		boolean waitedTwiceAllowed = -millisUntilDue > run.dueMillis() - run.job().acceptedMillis();
+		return late && !waitedTwiceAllowed;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemOutcome.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemOutcome.java
@@ -5,14 +5,15 @@
 /**
  * How an item ended.
  *
- * @param itemId the item
- * @param completed whether it ran to its end; otherwise it was given up
+ * @param itemId the item's id, unique in its job
+ * @param completed whether the item ran to its end; otherwise it was given up
  * @param output the data of all its events in order, separated by line feeds
  */
 public record ItemOutcome(String itemId, boolean completed, String output) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks the components.
+	 * @throws NullPointerException if a component is null
 	 */
 	public ItemOutcome {
 		Objects.requireNonNull(itemId, "itemId is null");
@@ -21,8 +22,8 @@
 
 	/**
 	 * Returns the outcome of an item that was given up.
-	 * @param itemId the item
-	 * @return the outcome
+	 * @param itemId the item's id
+	 * @return an outcome without output
 	 */
 	public static ItemOutcome givenUp(String itemId) {
 		return new ItemOutcome(itemId, false, "");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemProgress.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemProgress.java
@@ -3,37 +3,38 @@
 import java.util.Objects;
 
 /**
- * How far an item is that is not listed.
+ * The progress of an item whose result is not published yet.
  *
- * @param jobId its job
- * @param itemId the item, unique in the job
- * @param lastEvent the last event that the output holds, at least 1;
- * {@link Long#MAX_VALUE} if it holds all
+ * @param jobId the job's id
+ * @param itemId the item's id, unique in the job
+ * @param lastEvent the number of the last event in the output, at least 1;
+ * {@link Long#MAX_VALUE} if the output is complete
  * @param output the data of the events so far in order, separated by line feeds
  */
 public record ItemProgress(String jobId, String itemId, long lastEvent, String output) {
 
 	/**
-	 * Returns the progress of an item that has ended well and waits to be listed.
-	 * @param jobId its job
-	 * @param outcome how it ended
-	 * @return the whole output
+	 * Returns the progress of an item that has completed and whose result waits to be
+	 * published.
+	 * @param jobId the job's id
+	 * @param outcome the item's outcome
+	 * @return the progress, with the complete output
 	 */
-	static ItemProgress whole(String jobId, ItemOutcome outcome) {
+	static ItemProgress completed(String jobId, ItemOutcome outcome) {
 		return new ItemProgress(jobId, outcome.itemId(), Long.MAX_VALUE, outcome.output());
 	}
 
 	/**
-	 * Tells whether nothing is left to run.
-	 * @return whether the output is whole
+	 * Returns whether the item has run to its end.
+	 * @return whether the output is complete
 	 */
-	boolean whole() {
+	boolean complete() {
 		return this.lastEvent == Long.MAX_VALUE;
 	}
 
 	/**
-	 * Checks the values.
-	 * @throws IllegalArgumentException if there is no event
+	 * Checks the components.
+	 * @throws IllegalArgumentException if {@code lastEvent} is below 1
 	 */
 	public ItemProgress {
 		Objects.requireNonNull(jobId, "jobId is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemRun.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemRun.java
@@ -21,8 +21,8 @@
 import org.ragworthook.gateway.upstream.WorkClass;
 
 /**
- * An item that is not listed yet: what is known of its output, over all its runs. A run
- * that breaks off is gone on with after the last whole event.
+ * An item whose result is not published yet, with the output of all its runs so far.
+ * After a run that was interrupted, the next one resumes after the last complete event.
  */
 final class ItemRun {
 
@@ -34,24 +34,25 @@
 
 	private static final int SERVER_ERROR = 500;
 
-	/** The first pause after a run that broke off; it doubles with each. */
-	private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+	/** Pause after the first interrupted run; it doubles with each further one. */
+	private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
-	private static final int MOST_DOUBLINGS = 3;
+	private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
 	/**
-	 * Fruitless runs after which an item is taken to crash the upstreams that run it. It
-	 * may not be given up for that, so it is run seldom until its time is up.
+	 * Consecutive runs without progress after which the item is suspected of crashing the
+	 * upstreams that run it. That is no reason to give it up, so it is run rarely until
+	 * its retention period is over.
 	 */
-	private static final int SUSPECT_AT = 3;
+	private static final int SUSPECT_THRESHOLD = 3;
 
-	private static final Duration SUSPECT_PAUSE = Duration.ofSeconds(20);
+	private static final Duration SUSPECT_BACKOFF = Duration.ofSeconds(20);
 
 	/**
-	 * Doublings of the time that an item may wait in an engine's queue, up to some
-	 * seconds, so that slow engines are used at last.
+	 * Limit on the doublings of the time that the item may wait in an engine's queue. The
+	 * time grows to some seconds, so that slow engines get to run the item in the end.
 	 */
-	private static final int MOST_PATIENCE = 5;
+	private static final int MAX_QUEUE_TIME_DOUBLINGS = 5;
 
 	private final Job job;
 
@@ -65,23 +66,23 @@
 
 	private int serverErrors;
 
-	/** Runs in a row that broke off without a new event. */
-	private int fruitless;
+	/** Consecutive runs that were interrupted without a new event. */
+	private int runsWithoutProgress;
 
-	private long startedAfter;
+	private long resumedFromEvent;
 
 	private long startedNanos;
 
-	/** When it was started first, or {@link Long#MIN_VALUE}. */
+	/** The ticker's reading at the first start, or {@link Long#MIN_VALUE} before it. */
 	private long firstStartedNanos = Long.MIN_VALUE;
 
-	/** When its result is due, Unix milliseconds. */
+	/** When the result is due, Unix milliseconds. */
 	private long dueMillis = Long.MAX_VALUE;
 
-	/** How often in a row it was taken out of an engine's queue. */
-	private int queuedTimes;
+	/** Consecutive withdrawals from an engine's queue. */
+	private int withdrawals;
 
-	private int status;
+	private int statusCode;
 
 	private Attempt attempt;
 
@@ -104,8 +105,8 @@
 		return this.dueMillis;
 	}
 
-	void dueMillis(long due) {
-		this.dueMillis = due;
+	void dueMillis(long millis) {
+		this.dueMillis = millis;
 	}
 
 	long lastEvent() {
@@ -113,8 +114,8 @@
 	}
 
 	/**
-	 * Returns since when the item is worked on.
-	 * @return the ticker's reading of its first start
+	 * Returns when the item was started first.
+	 * @return the ticker's reading
 	 */
 	long firstStartedNanos() {
 		return this.firstStartedNanos;
@@ -124,7 +125,7 @@
 		return this.attempt != null;
 	}
 
-	boolean at(TrackedUpstream upstream) {
+	boolean runningAt(TrackedUpstream upstream) {
 		return this.attempt != null && this.attempt.upstream() == upstream;
 	}
 
@@ -133,40 +134,41 @@
 	}
 
 	/**
-	 * Tells whether the item waits in the queue of an engine.
+	 * Returns the upstream in whose queue the item has waited too long.
 	 * @param nowNanos the ticker's reading
-	 * @param patience how long it may be without an answer when it is taken out the first
+	 * @param maxQueueTime how long the item may wait for a response head until the first
+	 * withdrawal; doubled with each withdrawal in a row
+	 * @return the upstream, or empty if the item does not run or has not exceeded its
 	 * time
-	 * @return the upstream, or empty if it does not
 	 */
-	Optional<TrackedUpstream> queuedAt(long nowNanos, Duration patience) {
-		long most = patience.toNanos() << Math.min(this.queuedTimes, MOST_PATIENCE);
-		boolean queued = this.attempt != null && this.status == 0 && nowNanos - this.startedNanos >= most;
-		return queued ? Optional.of(this.attempt.upstream()) : Optional.empty();
+	Optional<TrackedUpstream> queuedTooLongAt(long nowNanos, Duration maxQueueTime) {
+		long limit = maxQueueTime.toNanos() << Math.min(this.withdrawals, MAX_QUEUE_TIME_DOUBLINGS);
+		boolean queuedTooLong = this.attempt != null && this.statusCode == 0 && nowNanos - this.startedNanos >= limit;
+		return queuedTooLong ? Optional.of(this.attempt.upstream()) : Optional.empty();
 	}
 
 	/**
-	 * Takes the item out of the queue of an engine, which has not begun with it.
+	 * Withdraws the item from the queue of an engine that has not begun to run it.
 	 */
-	void leaveQueue() {
-		this.queuedTimes++;
+	void withdraw() {
+		this.withdrawals++;
 		stop();
 	}
 
-	void start(TrackedUpstream upstream, ConnectionPool pool, HeaderNames names, ItemListener listener) {
+	void start(TrackedUpstream upstream, ConnectionPool pool, HeaderNames names, RunListener listener) {
 		LOG.info("item_placed", "job", this.job.id(), "item", this.item.id(), "upstream", upstream, "load",
-				upstream.load(), "from_event", this.lastEvent, "fruitless", this.fruitless);
-		this.status = 0;
+				upstream.load(), "from_event", this.lastEvent, "runs_without_progress", this.runsWithoutProgress);
+		this.statusCode = 0;
 		this.startedNanos = listener.nanosAfter(Duration.ZERO);
 		if (this.firstStartedNanos == Long.MIN_VALUE) {
 			this.firstStartedNanos = this.startedNanos;
 		}
-		this.startedAfter = this.lastEvent;
-		this.attempt = Attempt.start(upstream, WorkClass.BATCH, pool, names, () -> message(names), this.item.id(),
-				this.lastEvent, new Answer(listener));
+		this.resumedFromEvent = this.lastEvent;
+		this.attempt = Attempt.start(upstream, WorkClass.BATCH, pool, names, () -> request(names), this.item.id(),
+				this.lastEvent, new ResponseListener(listener));
 	}
 
-	private FullHttpRequest message(HeaderNames names) {
+	private FullHttpRequest request(HeaderNames names) {
 		HttpHeaders headers = new DefaultHttpHeaders(false);
 		this.item.headers().forEach(headers::set);
 		names.stampAccount(headers, this.job.account());
@@ -178,7 +180,7 @@
 	}
 
 	/**
-	 * Stops the run, if one is in progress, without an outcome.
+	 * Aborts the run in progress, if any, without an outcome.
 	 */
 	void stop() {
 		if (this.attempt != null) {
@@ -188,8 +190,8 @@
 	}
 
 	/**
-	 * Returns how far the item is.
-	 * @return its output up to the last whole event, or empty if it has none
+	 * Returns the progress of the item.
+	 * @return its output up to the last complete event, or empty if it has no event
 	 */
 	Optional<ItemProgress> progress() {
 		return (this.lastEvent > 0)
@@ -198,10 +200,11 @@
 	}
 
 	/**
-	 * Takes over what an earlier owner has of the output, if that is more than is there.
-	 * @param saved how far the item was
+	 * Resumes from progress that an earlier owner has saved, if it is ahead of this one's
+	 * and the item does not run.
+	 * @param saved the saved progress
 	 */
-	void goOnAfter(ItemProgress saved) {
+	void resumeFrom(ItemProgress saved) {
 		if (this.attempt == null && saved.lastEvent() > this.lastEvent) {
 			this.lastEvent = saved.lastEvent();
 			this.hasOutput = true;
@@ -214,23 +217,23 @@
 		return this.serverErrors;
 	}
 
-	private final class Answer implements AttemptListener {
+	private final class ResponseListener implements AttemptListener {
 
-		private final ItemListener listener;
+		private final RunListener listener;
 
-		Answer(ItemListener listener) {
+		ResponseListener(RunListener listener) {
 			this.listener = listener;
 		}
 
 		@Override
 		public void head(HttpResponse head) {
-			ItemRun.this.status = head.status().code();
-			ItemRun.this.queuedTimes = 0;
+			ItemRun.this.statusCode = head.status().code();
+			ItemRun.this.withdrawals = 0;
 		}
 
 		@Override
 		public void data(byte[] data) {
-			if (ItemRun.this.status != OK) {
+			if (ItemRun.this.statusCode != OK) {
 				return;
 			}
 			ItemRun.this.lastEvent = ItemRun.this.attempt.lastEvent();
@@ -249,16 +252,16 @@
 			TrackedUpstream upstream = run.attempt.upstream();
 			run.attempt = null;
 			LOG.info("item_answered", "job", run.job.id(), "item", run.item.id(), "upstream", upstream, "status",
-					run.status, "last_event", run.lastEvent, "server_errors", run.serverErrors);
-			if (run.status == OK) {
+					run.statusCode, "last_event", run.lastEvent, "server_errors", run.serverErrors);
+			if (run.statusCode == OK) {
 				this.listener.ended(run, Optional.of(new ItemOutcome(run.item.id(), true, run.output.toString())));
 			}
-			else if (run.status == UNPROCESSABLE) {
+			else if (run.statusCode == UNPROCESSABLE) {
 				this.listener.ended(run, Optional.of(ItemOutcome.givenUp(run.item.id())));
 			}
 			else {
-				run.serverErrors += (run.status == SERVER_ERROR) ? 1 : 0;
-				pause();
+				run.serverErrors += (run.statusCode == SERVER_ERROR) ? 1 : 0;
+				backOff();
 				this.listener.ended(run, Optional.empty());
 			}
 		}
@@ -270,7 +273,7 @@
 					"status", refusal);
 			this.listener.refused(run.attempt.upstream());
 			run.attempt = null;
-			run.notBeforeNanos = this.listener.nanosAfter(FIRST_PAUSE);
+			run.notBeforeNanos = this.listener.nanosAfter(INITIAL_BACKOFF);
 			this.listener.ended(run, Optional.empty());
 		}
 
@@ -281,51 +284,52 @@
 					"failure", failure, "last_event", run.lastEvent);
 			this.listener.failed(run.attempt.upstream());
 			run.attempt = null;
-			boolean ran = failure != SendFailure.NOT_SENT && run.lastEvent == run.startedAfter;
-			run.fruitless = ran ? run.fruitless + 1 : 0;
-			pause();
+			boolean ranWithoutProgress = failure != SendFailure.NOT_SENT && run.lastEvent == run.resumedFromEvent;
+			run.runsWithoutProgress = ranWithoutProgress ? run.runsWithoutProgress + 1 : 0;
+			backOff();
 			this.listener.ended(run, Optional.empty());
 		}
 
-		private void pause() {
+		private void backOff() {
 			ItemRun run = ItemRun.this;
-			int doublings = Math.min(MOST_DOUBLINGS, Math.max(0, run.fruitless + run.serverErrors - 1));
-			run.notBeforeNanos = this.listener
-				.nanosAfter((run.fruitless >= SUSPECT_AT) ? SUSPECT_PAUSE : FIRST_PAUSE.multipliedBy(1L << doublings));
+			int doublings = Math.min(MAX_BACKOFF_DOUBLINGS,
+					Math.max(0, run.runsWithoutProgress + run.serverErrors - 1));
+			run.notBeforeNanos = this.listener.nanosAfter((run.runsWithoutProgress >= SUSPECT_THRESHOLD)
+					? SUSPECT_BACKOFF : INITIAL_BACKOFF.multipliedBy(1L << doublings));
 		}
 
 	}
 
 	/**
-	 * Takes what becomes of a run.
+	 * Receives the results of runs.
 	 */
-	interface ItemListener {
+	interface RunListener {
 
 		/**
-		 * Learns that a run has ended.
+		 * Called when a run has ended.
 		 * @param run the item
-		 * @param outcome how the item ended, or empty if it is to be run again
+		 * @param outcome the item's outcome, or empty if it is to be run again
 		 */
 		void ended(ItemRun run, Optional<ItemOutcome> outcome);
 
 		/**
-		 * Learns that an upstream refused an item.
+		 * Called when an upstream refused an item.
 		 * @param upstream the upstream
 		 */
 		void refused(TrackedUpstream upstream);
 
 		/**
-		 * Learns that an upstream broke off or could not be reached.
+		 * Called when an upstream interrupted a run or could not be reached.
 		 * @param upstream the upstream
 		 */
 		void failed(TrackedUpstream upstream);
 
 		/**
-		 * Returns the ticker's reading after a pause.
-		 * @param pause the pause
-		 * @return nanoseconds
+		 * Returns the ticker's reading at the end of a delay that starts now.
+		 * @param delay the delay
+		 * @return the reading, nanoseconds
 		 */
-		long nanosAfter(Duration pause);
+		long nanosAfter(Duration delay);
 
 	}
 
--- /dev/null
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemScheduler.java
@@ -0,0 +1,122 @@
+package org.ragworthook.gateway.job;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+
+import org.ragworthook.core.log.EventLog;
+import org.ragworthook.gateway.route.Configuration;
+import org.ragworthook.gateway.route.Route;
+import org.ragworthook.gateway.upstream.BatchTurns;
+import org.ragworthook.gateway.upstream.SlotSharing;
+import org.ragworthook.gateway.upstream.TrackedUpstream;
+
+/**
+ * Starts items on upstreams that have room, and preempts them where online requests need
+ * the slots. {@link SlotSharing} decides how much room there is, and {@link ItemOrder}
+ * which item comes first. Used on the event loop.
+ */
+final class ItemScheduler {
+
+	private static final EventLog LOG = EventLog.of(ItemScheduler.class);
+
+	private final JobRunner.Dependencies dependencies;
+
+	private final ItemOrder order;
+
+	private final ItemRun.RunListener listener;
+
+	ItemScheduler(JobRunner.Dependencies dependencies, ItemOrder order, ItemRun.RunListener listener) {
+		this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
+		this.order = Objects.requireNonNull(order, "order is null");
+		this.listener = Objects.requireNonNull(listener, "listener is null");
+	}
+
+	/**
+	 * Starts items while there is room.
+	 * @param ready the items that may be started; sorted in place
+	 * @return whether some of them still wait for a slot
+	 */
+	boolean place(List<ItemRun> ready) {
+		this.order.sort(ready, this.dependencies.wallMillis().get());
+		Map<String, Integer> remainingStarts = new HashMap<>();
+		BatchTurns slotClaimOrder = this.dependencies.slotClaimOrder().get();
+		for (ItemRun run : ready) {
+			place(run, remainingStarts, slotClaimOrder);
+		}
+		return ready.stream().anyMatch((run) -> !run.running());
+	}
+
+	private void place(ItemRun run, Map<String, Integer> remainingStarts, BatchTurns slotClaimOrder) {
+		Optional<Configuration> configuration = this.dependencies.configuration().present();
+		Optional<Route> route = configuration.flatMap((present) -> present.route(run.job().host(), run.job().path()));
+		if (route.isEmpty()) {
+			return;
+		}
+		String service = route.get().service(this.dependencies.random().getAsDouble());
+		List<TrackedUpstream> fleet = this.dependencies.upstreams().serving(service);
+		int remaining = remainingStarts.computeIfAbsent(service,
+				(name) -> SlotSharing.batchStarts(fleet, slotClaimOrder.runners().size()));
+		if (remaining <= 0) {
+			return;
+		}
+		long now = this.dependencies.ticker().nanos();
+		Optional<TrackedUpstream> chosen = this.dependencies.placement()
+			.choose(fleet, Set.of(), (candidate) -> SlotSharing.batchRoom(candidate, slotClaimOrder, now));
+		remainingStarts.put(service, chosen.isPresent() ? remaining - 1 : 0);
+		chosen.ifPresent((upstream) -> upstream.batchStarted(now));
+		chosen.ifPresent((upstream) -> run.start(upstream, this.dependencies.connections(), this.dependencies.headers(),
+				this.listener));
+	}
+
+	/**
+	 * Preempts items on upstreams whose slots online requests need, those of the lowest
+	 * priority first.
+	 * @param runs gives the items of this process
+	 */
+	void yieldSlots(Supplier<List<ItemRun>> runs) {
+		for (TrackedUpstream upstream : this.dependencies.upstreams().all()) {
+			int count = SlotSharing.toYield(upstream);
+			if (count > 0) {
+				yieldSlots(upstream, count, runs.get());
+			}
+		}
+	}
+
+	private void yieldSlots(TrackedUpstream upstream, int count, List<ItemRun> runs) {
+		this.dependencies.metrics().yielded(count);
+		upstream.yielded(this.dependencies.ticker().nanos());
+		LOG.info("batch_yields", "upstream", upstream, "items", count, "online", upstream.onlineLoad(), "batch",
+				upstream.batchLoad());
+		runs.stream()
+			.filter((run) -> run.runningAt(upstream))
+			.sorted(this.order.comparator(this.dependencies.wallMillis().get()).reversed())
+			.limit(count)
+			.forEach(ItemRun::stop);
+	}
+
+	/**
+	 * Withdraws items that wait in the queues of engines. An engine can be fuller than
+	 * this process knows, because another process that runs jobs is partitioned from this
+	 * one, or because the engine has other users. Items in its queue delay every online
+	 * request that arrives after them: with the processes that run jobs split into two
+	 * halves that did not hear each other, first events came half a second late.
+	 * @param runs the items of this process
+	 */
+	void withdrawQueued(List<ItemRun> runs) {
+		long now = this.dependencies.ticker().nanos();
+		for (ItemRun run : runs) {
+			run.queuedTooLongAt(now, this.dependencies.maxQueueTime()).ifPresent((upstream) -> {
+				LOG.info("item_left_queue", "job", run.job().id(), "item", run.item().id(), "upstream", upstream,
+						"load", upstream.load());
+				run.withdraw();
+				upstream.yielded(now);
+			});
+		}
+	}
+
+}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/Job.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/Job.java
@@ -5,25 +5,29 @@
 import java.util.Optional;
 
 /**
- * A batch job as the platform's store keeps it.
+ * A batch job as it is stored on the platform.
  *
- * @param id its id, see {@link JobIds}
- * @param account the client account that it belongs to, or empty if its caller had none
- * @param host the host that it was submitted to
- * @param path the path that it was submitted to; with the host it leads to the route
- * @param acceptedMillis when it was submitted, Unix time
- * @param configurationVersion the configuration by which it was accepted
- * @param itemCount how many items it has
- * @param chunks in how many further objects its items are, or 0 if they are in this one
- * @param tokens tokens of all its items, prompts and the most that may be generated
- * @param ended whether its caller has ended it
- * @param items its items, empty if they are in further objects or the job has ended
+ * @param id the job's id, see {@link JobIds}
+ * @param account the client account that owns the job, or empty if its caller had none
+ * @param host the host that the job was submitted to
+ * @param path the path that the job was submitted to; host and path together select the
+ * route
+ * @param acceptedMillis when the job was submitted, Unix milliseconds
+ * @param configurationVersion the version of the configuration under which the job was
+ * accepted
+ * @param itemCount the number of its items
+ * @param chunks the number of further objects that hold its items, or 0 if they are in
+ * the job's own object
+ * @param tokens the tokens of all its items: prompt tokens and the most that may be
+ * generated
+ * @param ended whether its caller has ended (cancelled) the job
+ * @param items its items; empty if they are in further objects, or if the job has ended
  */
 public record Job(String id, Optional<String> account, String host, String path, long acceptedMillis,
 		long configurationVersion, int itemCount, int chunks, long tokens, boolean ended, List<JobItem> items) {
 
 	/**
-	 * Copies the items.
+	 * Checks the components and copies the items.
 	 */
 	public Job {
 		Objects.requireNonNull(id, "id is null");
@@ -34,9 +38,9 @@
 	}
 
 	/**
-	 * Returns the job with its items at hand.
-	 * @param all its items
-	 * @return a copy
+	 * Returns a copy of the job with its items.
+	 * @param all all items of the job
+	 * @return the copy
 	 */
 	public Job withItems(List<JobItem> all) {
 		return new Job(this.id, this.account, this.host, this.path, this.acceptedMillis, this.configurationVersion,
@@ -44,10 +48,10 @@
 	}
 
 	/**
-	 * Returns the job as it is once its caller has ended it.
-	 * @return a copy without items
+	 * Returns a copy of the job as it is after its caller has ended it.
+	 * @return the copy, without items
 	 */
-	public Job end() {
+	public Job asEnded() {
 		return new Job(this.id, this.account, this.host, this.path, this.acceptedMillis, this.configurationVersion,
 				this.itemCount, 0, this.tokens, true, List.of());
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobDocuments.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobDocuments.java
@@ -15,7 +15,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The documents in which the platform's store keeps batch jobs.
+ * Reads and writes the JSON documents in which batch jobs, their results and their
+ * progress are stored.
  */
 final class JobDocuments {
 
@@ -24,7 +25,7 @@
 	private JobDocuments() {
 	}
 
-	static String write(Job job) {
+	static String writeJob(Job job) {
 		ObjectNode node = MAPPER.createObjectNode();
 		node.put("id", job.id());
 		job.account().ifPresent((account) -> node.put("account", account));
@@ -40,7 +41,7 @@
 		return text(node);
 	}
 
-	static Job job(String text) {
+	static Job readJob(String text) {
 		JsonNode node = parse(text);
 		Optional<String> account = Optional.ofNullable(node.path("account").textValue());
 		return new Job(node.path("id").asText(), account, node.path("host").asText(), node.path("path").asText(),
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobIds.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobIds.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 
 /**
- * The ids under which jobs are kept. Callers choose ids, and two accounts may choose the
- * same, so the account is part of an id: no account can reach, or collide with, a job of
- * another one.
+ * The ids under which jobs are stored. Callers choose the ids of their jobs, and two
+ * accounts may choose the same one, so the stored id contains the account: no account can
+ * reach, or collide with, a job of another.
  */
 public final class JobIds {
 
@@ -16,17 +16,18 @@
 	}
 
 	/**
-	 * Returns the id under which a job is kept.
-	 * @param account the account that it belongs to, or empty if its caller has none
-	 * @param chosen the id that its caller chose
-	 * @return the id; without an account, the one chosen
+	 * Returns the id under which a job is stored.
+	 * @param account the account that owns the job, or empty if its caller has none
+	 * @param clientId the id that the caller chose
+	 * @return the stored id: the two parts, escaped and joined by a slash, or the
+	 * caller's id alone without an account
 	 */
-	public static String qualified(Optional<String> account, String chosen) {
-		Objects.requireNonNull(chosen, "chosen is null");
-		return account.map((name) -> escaped(name) + SEPARATOR).orElse("") + escaped(chosen);
+	public static String qualified(Optional<String> account, String clientId) {
+		Objects.requireNonNull(clientId, "clientId is null");
+		return account.map((name) -> escape(name) + SEPARATOR).orElse("") + escape(clientId);
 	}
 
-	private static String escaped(String part) {
+	private static String escape(String part) {
 		return part.replace("%", "%25").replace("/", "%2f");
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobItem.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobItem.java
@@ -6,16 +6,16 @@
 /**
  * A request of a batch job.
  *
- * @param id its id, unique in the job
- * @param path the path at the upstream
- * @param headers the headers for the upstream
- * @param body the body, base64
- * @param tokens tokens of the prompt and the most that may be generated, together
+ * @param id the item's id, unique in the job
+ * @param path the path of the request at the upstream
+ * @param headers the headers of the request at the upstream
+ * @param body the body of the request, in base64
+ * @param tokens prompt tokens plus the most that may be generated
  */
 public record JobItem(String id, String path, Map<String, String> headers, String body, int tokens) {
 
 	/**
-	 * Copies the headers.
+	 * Checks the components and copies the headers.
 	 */
 	public JobItem {
 		Objects.requireNonNull(id, "id is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobOwners.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobOwners.java
@@ -1,23 +1,23 @@
 package org.ragworthook.gateway.job;
 
 /**
- * Tells who runs a job.
+ * Decides which process runs a job.
  * <p>
- * The answer may differ between processes for a while. That costs runs twice and harms
- * nothing: positions are decided by the store.
+ * Processes may disagree for a while. Items then run twice, which wastes work but does no
+ * harm: the store decides the positions of results.
  */
 public interface JobOwners {
 
 	/**
-	 * Tells whether this process runs a job.
-	 * @param jobId the job
-	 * @return whether it does
+	 * Returns whether this process is the owner of a job and has to run it.
+	 * @param jobId the job's id
+	 * @return whether this process owns the job
 	 */
 	boolean ownedHere(String jobId);
 
 	/**
 	 * Returns how many processes run jobs.
-	 * @return this one and those that it knows of
+	 * @return the number of known processes that run jobs, this one included
 	 */
 	int runnerCount();
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobReader.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobReader.java
@@ -15,177 +15,183 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Reads jobs and their results for callers. What was read once never changes and is kept;
- * what is not known here is asked of the store, so that no process shows less than
- * another one has shown, unless the processes that run jobs tell for sure that there is
- * nothing yet. Used on the event loop.
+ * Reads jobs and their results for callers. Published results never change, so those once
+ * read are cached. For anything else the store is read, so that no process shows fewer
+ * results than another has already shown; the read is saved if the processes that run
+ * jobs assert that there is nothing new. Used on the event loop.
  */
 public final class JobReader {
 
 	private static final EventLog LOG = EventLog.of(JobReader.class);
 
-	/** Results of one answer, in characters; the calls allow a megabyte. */
-	private static final int PAGE_CHARS = 700_000;
+	/**
+	 * Maximum text of one page of results, in characters; calls are limited to a
+	 * megabyte.
+	 */
+	private static final int MAX_PAGE_CHARS = 700_000;
 
-	/** Text of results that is kept for reading again, in characters. */
-	private static final long KEPT_CHARS = 24_000_000;
+	/** Maximum text of cached results, in characters. */
+	private static final long MAX_CACHED_CHARS = 24_000_000;
 
 	private final JobStore store;
 
-	private final PublishedResultsView news;
+	private final PublishedResultsView published;
 
 	private final Timers timers;
 
-	private final Set<WaitingRead> waiting = new LinkedHashSet<>();
+	private final Set<PendingRead> pendingReads = new LinkedHashSet<>();
 
-	private final Map<String, View> views = new LinkedHashMap<>(16, 0.75f, true);
+	private final Map<String, CachedResults> cache = new LinkedHashMap<>(16, 0.75f, true);
 
-	private long keptChars;
+	private long cachedChars;
 
-	private JobReader(JobStore store, PublishedResultsView news, Timers timers) {
+	private JobReader(JobStore store, PublishedResultsView published, Timers timers) {
 		this.store = Objects.requireNonNull(store, "store is null");
-		this.news = Objects.requireNonNull(news, "news is null");
+		this.published = Objects.requireNonNull(published, "published is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
 	}
 
 	/**
-	 * Returns a reader that has read nothing.
+	 * Returns a reader with an empty cache.
 	 * @param store the jobs
-	 * @param news what is told of results that are listed
+	 * @param published what the processes that run jobs report of published results
 	 * @param timers runs tasks later, on the event loop
 	 * @return the reader
 	 */
-	public static JobReader of(JobStore store, PublishedResultsView news, Timers timers) {
-		return new JobReader(store, news, timers);
+	public static JobReader of(JobStore store, PublishedResultsView published, Timers timers) {
+		return new JobReader(store, published, timers);
 	}
 
 	/**
-	 * Learns that there is news of listings. Callers that wait for a result which is
-	 * listed now get it at once, and not when their wait is over.
+	 * Called when reports of published results have arrived. Callers that wait for a
+	 * result that is published by now get it at once instead of at the end of their wait.
 	 */
 	public void onResultsReported() {
-		List.copyOf(this.waiting).forEach(WaitingRead::look);
+		List.copyOf(this.pendingReads).forEach(PendingRead::readAgain);
 	}
 
 	/**
 	 * Reads results.
-	 * @param jobId the job
-	 * @param position the first position wanted
-	 * @param wait how long to wait for a result there
+	 * @param jobId the job's id
+	 * @param position the first position to read
+	 * @param wait how long to wait for a result at that position
 	 * @return the results, or empty if there is no such job; fails with a
-	 * {@link org.ragworthook.core.error.StoreException} if that cannot be told now
+	 * {@link org.ragworthook.core.error.StoreException} if the store does not answer
 	 */
 	public CompletableFuture<Optional<Page>> results(String jobId, int position, Duration wait) {
-		return view(jobId).thenCompose((found) -> {
+		return cached(jobId).thenCompose((found) -> {
 			if (found.isEmpty()) {
 				return CompletableFuture.completedFuture(Optional.<Page>empty());
 			}
-			View view = found.get();
-			return more(view, position).thenCompose((ready) -> {
+			CachedResults cached = found.get();
+			return readUntil(cached, position).thenCompose((ready) -> {
 				if (ready || wait.isZero()) {
-					return CompletableFuture.completedFuture(Optional.of(view.page(position)));
+					return CompletableFuture.completedFuture(Optional.of(cached.page(position)));
 				}
-				return later(view, position, wait);
+				return awaitResult(cached, position, wait);
 			});
 		});
 	}
 
-	private CompletableFuture<Optional<Page>> later(View view, int position, Duration wait) {
-		WaitingRead read = new WaitingRead(view, position);
-		this.waiting.add(read);
-		this.timers.schedule(wait, read::end);
+	private CompletableFuture<Optional<Page>> awaitResult(CachedResults cached, int position, Duration wait) {
+		PendingRead read = new PendingRead(cached, position);
+		this.pendingReads.add(read);
+		this.timers.schedule(wait, read::complete);
 		return read.answer;
 	}
 
 	/**
-	 * Reads on until a position is known.
-	 * @param view the job as far as it was read
-	 * @param position the position wanted
-	 * @return whether there is a result there, or never will be
+	 * Reads segments until a position is reached.
+	 * @param cached the results read so far
+	 * @param position the position to reach
+	 * @return whether there is a result at the position, or never will be one
 	 */
-	private CompletableFuture<Boolean> more(View view, int position) {
-		if (position < view.outcomes.size() || view.outcomes.size() >= view.itemCount) {
+	private CompletableFuture<Boolean> readUntil(CachedResults cached, int position) {
+		if (position < cached.outcomes.size() || cached.outcomes.size() >= cached.itemCount) {
 			return CompletableFuture.completedFuture(true);
 		}
-		if (this.news.authoritative(view.jobId).filter((told) -> told.maxSegments() <= view.segments).isPresent()) {
+		if (this.published.authoritative(cached.jobId)
+			.filter((results) -> results.maxSegments() <= cached.segments)
+			.isPresent()) {
 			return CompletableFuture.completedFuture(false);
 		}
-		int number = view.segments;
-		return segment(view, position).thenCompose((segment) -> {
+		int number = cached.segments;
+		return nextSegment(cached, position).thenCompose((segment) -> {
 			if (segment.isEmpty()) {
 				return CompletableFuture.completedFuture(false);
 			}
-			if (view.segments == number) {
-				add(view, segment.get());
+			if (cached.segments == number) {
+				addSegment(cached, segment.get());
 			}
-			return more(view, position);
+			return readUntil(cached, position);
 		});
 	}
 
 	/**
-	 * Reads the next segment. A caller that asks for a later position was shown the
-	 * results before it, so the segment is there.
-	 * @param view the job as far as it was read
-	 * @param position the position wanted
-	 * @return the segment, or empty if there is none yet
+	 * Reads the next segment. If the position lies beyond the cached results, the caller
+	 * was shown the results before it, so that segment exists and may come from a
+	 * possibly stale copy.
+	 * @param cached the results read so far
+	 * @param position the position to reach
+	 * @return the segment, or empty if it is not written yet
 	 */
-	private CompletableFuture<Optional<List<ItemOutcome>>> segment(View view, int position) {
-		return (position > view.outcomes.size()) ? this.store.olderSegment(view.jobId, view.segments)
-				: this.store.segment(view.jobId, view.segments);
+	private CompletableFuture<Optional<List<ItemOutcome>>> nextSegment(CachedResults cached, int position) {
+		return (position > cached.outcomes.size()) ? this.store.segmentPossiblyStale(cached.jobId, cached.segments)
+				: this.store.segment(cached.jobId, cached.segments);
 	}
 
-	private void add(View view, List<ItemOutcome> segment) {
-		view.outcomes.addAll(segment);
-		view.segments++;
+	private void addSegment(CachedResults cached, List<ItemOutcome> segment) {
+		cached.outcomes.addAll(segment);
+		cached.segments++;
 		long chars = segment.stream().mapToLong((outcome) -> outcome.output().length()).sum();
-		view.chars += chars;
-		this.keptChars += chars;
-		LOG.info("results_read", "job", view.jobId, "segment", view.segments - 1, "listed", view.outcomes.size(),
-				"total", view.itemCount);
-		trim(view);
+		cached.chars += chars;
+		this.cachedChars += chars;
+		LOG.info("results_read", "job", cached.jobId, "segment", cached.segments - 1, "listed", cached.outcomes.size(),
+				"total", cached.itemCount);
+		evict(cached);
 	}
 
-	private void trim(View inUse) {
-		var oldest = this.views.values().iterator();
-		while (this.keptChars > KEPT_CHARS && oldest.hasNext()) {
-			View view = oldest.next();
-			if (view != inUse) {
-				this.keptChars -= view.chars;
+	private void evict(CachedResults retained) {
+		var oldest = this.cache.values().iterator();
+		while (this.cachedChars > MAX_CACHED_CHARS && oldest.hasNext()) {
+			CachedResults cached = oldest.next();
+			if (cached != retained) {
+				this.cachedChars -= cached.chars;
 				oldest.remove();
 			}
 		}
 	}
 
-	private CompletableFuture<Optional<View>> view(String jobId) {
-		View known = this.views.get(jobId);
+	private CompletableFuture<Optional<CachedResults>> cached(String jobId) {
+		CachedResults known = this.cache.get(jobId);
 		if (known != null) {
 			return CompletableFuture.completedFuture(Optional.of(known));
 		}
-		Optional<PublishedResults> told = this.news.authoritative(jobId);
-		if (told.isPresent()) {
-			return CompletableFuture.completedFuture(Optional.of(view(jobId, told.get().itemCount())));
+		Optional<PublishedResults> results = this.published.authoritative(jobId);
+		if (results.isPresent()) {
+			return CompletableFuture.completedFuture(Optional.of(cached(jobId, results.get().itemCount())));
 		}
-		return this.store.readOlder(jobId).thenApply((found) -> {
+		return this.store.readPossiblyStale(jobId).thenApply((found) -> {
 			if (found.isEmpty()) {
-				return Optional.<View>empty();
+				return Optional.<CachedResults>empty();
 			}
-			return Optional.of(view(jobId, found.get().itemCount()));
+			return Optional.of(cached(jobId, found.get().itemCount()));
 		});
 	}
 
-	private View view(String jobId, int itemCount) {
-		return this.views.computeIfAbsent(jobId, (id) -> new View(id, itemCount));
+	private CachedResults cached(String jobId, int itemCount) {
+		return this.cache.computeIfAbsent(jobId, (id) -> new CachedResults(id, itemCount));
 	}
 
 	/**
-	 * Reads the body of an item.
-	 * @param jobId the job
-	 * @param itemId the item
-	 * @return the body in base64, or empty if there is none; fails if that cannot be told
-	 * now
+	 * Reads the request body of an item.
+	 * @param jobId the job's id
+	 * @param itemId the item's id
+	 * @return the body in base64, or empty if there is no such item or the job has ended;
+	 * fails if the store does not answer
 	 */
 	public CompletableFuture<Optional<String>> body(String jobId, String itemId) {
-		return this.store.readOlder(jobId).thenCompose((found) -> {
+		return this.store.readPossiblyStale(jobId).thenCompose((found) -> {
 			if (found.isEmpty() || found.get().ended()) {
 				return CompletableFuture.completedFuture(Optional.<String>empty());
 			}
@@ -199,16 +205,16 @@
 	}
 
 	/**
-	 * Results of a job from a position on.
+	 * A range of a job's results.
 	 *
-	 * @param total how many items the job has
+	 * @param total the number of items of the job
 	 * @param position the position of the first result
 	 * @param outcomes the results
 	 */
 	public record Page(int total, int position, List<ItemOutcome> outcomes) {
 	}
 
-	private static final class View {
+	private static final class CachedResults {
 
 		private final String jobId;
 
@@ -220,7 +226,7 @@
 
 		private long chars;
 
-		View(String jobId, int itemCount) {
+		CachedResults(String jobId, int itemCount) {
 			this.jobId = jobId;
 			this.itemCount = itemCount;
 		}
@@ -231,7 +237,7 @@
 			for (int at = position; at < this.outcomes.size(); at++) {
 				ItemOutcome outcome = this.outcomes.get(at);
 				chars += outcome.output().length();
-				if (!page.isEmpty() && chars > PAGE_CHARS) {
+				if (!page.isEmpty() && chars > MAX_PAGE_CHARS) {
 					break;
 				}
 				page.add(outcome);
@@ -242,11 +248,11 @@
 	}
 
 	/**
-	 * A read whose caller waits for a result.
+	 * A read that waits for a result.
 	 */
-	private final class WaitingRead {
+	private final class PendingRead {
 
-		private final View view;
+		private final CachedResults cached;
 
 		private final int position;
 
@@ -254,33 +260,33 @@
 
 		private boolean reading;
 
-		WaitingRead(View view, int position) {
-			this.view = view;
+		PendingRead(CachedResults cached, int position) {
+			this.cached = cached;
 			this.position = position;
 		}
 
 		/**
-		 * Reads on if news tells of more than was read.
+		 * Reads further segments if more are reported than were read.
 		 */
-		void look() {
-			boolean more = JobReader.this.news.authoritative(this.view.jobId)
-				.filter((told) -> told.maxSegments() > this.view.segments)
+		void readAgain() {
+			boolean hasMore = JobReader.this.published.authoritative(this.cached.jobId)
+				.filter((results) -> results.maxSegments() > this.cached.segments)
 				.isPresent();
-			if (!more || this.reading) {
+			if (!hasMore || this.reading) {
 				return;
 			}
 			this.reading = true;
-			more(this.view, this.position).whenComplete((ready, failure) -> {
+			readUntil(this.cached, this.position).whenComplete((ready, failure) -> {
 				this.reading = false;
 				if (failure == null && ready) {
-					end();
+					complete();
 				}
 			});
 		}
 
-		void end() {
-			if (JobReader.this.waiting.remove(this)) {
-				this.answer.complete(Optional.of(this.view.page(this.position)));
+		void complete() {
+			if (JobReader.this.pendingReads.remove(this)) {
+				this.answer.complete(Optional.of(this.cached.page(this.position)));
 			}
 		}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobRunner.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobRunner.java
@@ -31,64 +31,68 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * Runs the items of the jobs that this process owns, in the room that online requests
- * leave, and lists their results. Runs on the event loop.
+ * Runs the items of the jobs that this process owns, in the slots that online requests
+ * leave free, and publishes their results. Runs on the event loop.
  */
 public final class JobRunner {
 
 	private static final EventLog LOG = EventLog.of(JobRunner.class);
 
-	/** How often all jobs are looked through, for what no event brings about. */
-	private static final Duration ROUND = Duration.ofMillis(100);
+	/** Interval of the periodic round, which catches what no event triggers. */
+	private static final Duration ROUND_INTERVAL = Duration.ofMillis(100);
 
-	/** How long an upstream that broke off twice in a row is avoided. */
-	private static final Duration AVOID = Duration.ofMillis(1_500);
+	/** How long an upstream is avoided after its second failure in a row. */
+	private static final Duration FAILURE_COOLDOWN = Duration.ofMillis(1_500);
 
-	/** How long an upstream that said it was full is avoided: half a usual request. */
-	private static final Duration AVOID_FULL = Duration.ofMillis(300);
+	/**
+	 * How long an upstream that refused an item as full is avoided: half the duration of
+	 * a typical request.
+	 */
+	private static final Duration FULL_COOLDOWN = Duration.ofMillis(300);
 
-	private final Dependencies parts;
+	private final Dependencies dependencies;
 
 	private final Map<String, OwnedJob> jobs = new LinkedHashMap<>();
 
 	private final ItemOrder order = new ItemOrder();
 
-	private final ItemPlacing placing;
+	private final ItemScheduler scheduler;
 
-	private final ProgressKeeper progress;
+	private final ProgressSaver progress;
 
-	private final JobLoading loading;
+	private final JobLoader loader;
 
-	private final ResultLister lister;
+	private final ResultPublisher publisher;
 
-	private final ListingClaims claims;
+	private final ResultAuthority authority;
 
 	private boolean stopped;
 
-	private volatile boolean wanting;
+	private volatile boolean hasWaitingItems;
 
-	private boolean listed;
+	private boolean initialListingComplete;
 
-	private JobRunner(Dependencies parts) {
-		this.parts = parts;
-		this.placing = new ItemPlacing(parts, this.order, new Runs());
-		this.progress = new ProgressKeeper(parts.progress(), parts.ticker(), parts.loop());
-		this.claims = new ListingClaims(parts.ticker(), parts.pauses(), parts.processes());
-		this.loading = new JobLoading(parts, this.progress, this.claims, this::pump);
-		this.lister = new ResultLister(parts, this.claims, this::pump);
+	private JobRunner(Dependencies dependencies) {
+		this.dependencies = dependencies;
+		this.scheduler = new ItemScheduler(dependencies, this.order, new RunHandler());
+		this.progress = new ProgressSaver(dependencies.progress(), dependencies.ticker(), dependencies.loop());
+		this.authority = new ResultAuthority(dependencies.ticker(), dependencies.pauseCount(),
+				dependencies.liveRunners());
+		this.loader = new JobLoader(dependencies, this.progress, this.authority, this::schedule);
+		this.publisher = new ResultPublisher(dependencies, this.authority, this::schedule);
 	}
 
 	/**
-	 * Returns a runner that knows no job.
-	 * @param parts what it uses
+	 * Returns a runner without jobs.
+	 * @param dependencies what the runner uses
 	 * @return the runner
 	 */
-	public static JobRunner of(Dependencies parts) {
-		return new JobRunner(Objects.requireNonNull(parts, "parts is null"));
+	public static JobRunner of(Dependencies dependencies) {
+		return new JobRunner(Objects.requireNonNull(dependencies, "dependencies is null"));
 	}
 
 	/**
-	 * Begins to run items.
+	 * Starts the periodic round.
 	 */
 	public void start() {
 		round();
@@ -96,81 +100,82 @@
 
 	private void round() {
 		if (!this.stopped) {
-			this.placing.leaveQueues(openRuns());
-			pump();
-			this.progress.round(readyJobs(), this.parts.owners().runnerCount());
-			this.parts.timers().schedule(ROUND, this::round);
+			this.scheduler.withdrawQueued(openRuns());
+			schedule();
+			this.progress.saveIfDue(readyJobs(), this.dependencies.owners().runnerCount());
+			this.dependencies.timers().schedule(ROUND_INTERVAL, this::round);
 		}
 	}
 
 	/**
-	 * Takes a job that the store has.
-	 * @param job the job
-	 * @param justWritten whether this comes from the news of changes; if the job was not
-	 * known before, it has been accepted a moment ago
+	 * Adds a job, or updates it if its caller has ended it.
+	 * @param job the job as it is stored
+	 * @param fromWatch whether the job comes from the watch rather than from a listing;
+	 * if it was unknown before, it has been accepted a moment ago
 	 */
-	public void put(Job job, boolean justWritten) {
+	public void put(Job job, boolean fromWatch) {
 		OwnedJob known = this.jobs.get(job.id());
 		if (known == null) {
-			boolean unread = justWritten && this.parts.settled().getAsBoolean()
-					&& this.parts.owners().ownedHere(job.id());
-			this.jobs.put(job.id(), new OwnedJob(job, !unread));
+			boolean noResults = fromWatch && this.dependencies.membershipSettled().getAsBoolean()
+					&& this.dependencies.owners().ownedHere(job.id());
+			this.jobs.put(job.id(), new OwnedJob(job, !noResults));
 			LOG.info("job_known", "job", job.id(), "items", job.itemCount(), "ended", job.ended());
 		}
 		else if (job.ended() && !known.job().ended()) {
 			known.job(job);
-			done(known);
+			markDone(known);
 			LOG.info("job_ended", "job", job.id(), "open_items", known.openCount());
 		}
-		pump();
+		schedule();
 	}
 
 	/**
-	 * Stops all runs; what is finished is still listed, and how far the others are is
-	 * saved.
-	 * @return completes when another process may go on with the items
+	 * Stops all runs, publishes the results of finished items and saves the progress of
+	 * the others.
+	 * @return completes when another process may resume the items
 	 */
 	public CompletableFuture<Void> stop() {
 		this.stopped = true;
 		CompletableFuture<Void> saved = this.progress.save(readyJobs());
 		this.jobs.values().forEach((job) -> {
 			job.stopRuns();
-			if (job.hasFinished()) {
-				this.lister.flush(job);
+			if (job.hasUnpublished()) {
+				this.publisher.publish(job);
 			}
 		});
 		return saved;
 	}
 
 	/**
-	 * Tells whether results wait to be listed.
-	 * @return whether any do
+	 * Returns whether results wait to be published.
+	 * @return whether any job has some, or a write is in progress
 	 */
 	public boolean hasUnpublishedResults() {
-		return this.jobs.values().stream().anyMatch((job) -> job.hasFinished() || job.writing());
+		return this.jobs.values().stream().anyMatch((job) -> job.hasUnpublished() || job.writing());
 	}
 
 	/**
-	 * Learns that all jobs that the store has were put.
+	 * Called when all stored jobs have been added.
 	 */
 	public void initialListingComplete() {
-		this.listed = true;
+		this.initialListingComplete = true;
 	}
 
 	/**
-	 * Returns the tokens of the items of this process's jobs that no upstream has
-	 * finished. Of a job that is not read yet all items count.
-	 * @return tokens by the key of route and account, or empty while it is not known
-	 * which jobs this process has
+	 * Returns the tokens of the unfinished items of this process's jobs. A job that is
+	 * not loaded yet counts with all its items.
+	 * @return tokens by backlog key (route and account), or empty while this process does
+	 * not know which jobs it owns
 	 */
 	public Optional<Map<Integer, Long>> backlog() {
-		Optional<Configuration> configuration = this.parts.configuration().present();
-		if (!this.listed || configuration.isEmpty() || !this.parts.settled().getAsBoolean()) {
+		Optional<Configuration> configuration = this.dependencies.configuration().present();
+		if (!this.initialListingComplete || configuration.isEmpty()
+				|| !this.dependencies.membershipSettled().getAsBoolean()) {
 			return Optional.empty();
 		}
 		Map<Integer, Long> tokens = new HashMap<>();
 		for (OwnedJob job : this.jobs.values()) {
-			if (job.phase() != OwnedJob.Phase.DONE && this.parts.owners().ownedHere(job.job().id())) {
+			if (job.phase() != OwnedJob.Phase.DONE && this.dependencies.owners().ownedHere(job.job().id())) {
 				configuration.get()
 					.route(job.job().host(), job.job().path())
 					.filter((route) -> route.mostWaitingTokens() > 0)
@@ -182,42 +187,43 @@
 	}
 
 	/**
-	 * Returns what entries are to know of the results that are listed.
-	 * @return the listings of the jobs that this process runs, and of those that it has
-	 * listed results of lately
+	 * Returns what this process reports of published results.
+	 * @return one entry for each job that this process runs with authority, and for each
+	 * that it has published results of lately
 	 */
 	public List<PublishedResults> publishedResults() {
-		this.claims.look();
-		return this.jobs.values().stream().flatMap((job) -> this.claims.listing(job).stream()).toList();
+		this.authority.refresh();
+		return this.jobs.values().stream().flatMap((job) -> this.authority.publishedResults(job).stream()).toList();
 	}
 
 	/**
-	 * Tells whether items wait for a slot.
-	 * @return whether some did when it was last looked
+	 * Returns whether items wait for a slot.
+	 * @return whether some did at the last scheduling
 	 */
 	public boolean hasWaitingItems() {
-		return this.wanting;
+		return this.hasWaitingItems;
 	}
 
 	/**
-	 * Does what can be done now.
+	 * Advances all jobs as far as possible: loads, publishes, gives up items and starts
+	 * those that are ready.
 	 */
-	public void pump() {
-		if (this.stopped || !this.parts.settled().getAsBoolean()) {
+	public void schedule() {
+		if (this.stopped || !this.dependencies.membershipSettled().getAsBoolean()) {
 			return;
 		}
 		List<ItemRun> ready = new ArrayList<>();
 		for (OwnedJob job : this.jobs.values()) {
-			look(job, ready);
+			process(job, ready);
 		}
-		this.wanting = this.placing.place(ready);
+		this.hasWaitingItems = this.scheduler.place(ready);
 	}
 
 	/**
-	 * Gives slots that online requests need back to them.
+	 * Preempts items on upstreams whose slots online requests need.
 	 */
 	public void yieldSlots() {
-		this.placing.giveWay(this::openRuns);
+		this.scheduler.yieldSlots(this::openRuns);
 	}
 
 	private List<OwnedJob> readyJobs() {
@@ -228,108 +234,109 @@
 		return this.jobs.values().stream().flatMap((job) -> job.runs().stream()).toList();
 	}
 
-	private void look(OwnedJob job, List<ItemRun> ready) {
+	private void process(OwnedJob job, List<ItemRun> ready) {
 		if (job.phase() == OwnedJob.Phase.DONE) {
 			return;
 		}
-		if (job.job().ended() || job.complete()) {
-			done(job);
-			LOG.info("job_done", "job", job.job().id(), "ended", job.job().ended(), "listed", job.complete());
+		if (job.job().ended() || job.allPublished()) {
+			markDone(job);
+			LOG.info("job_done", "job", job.job().id(), "ended", job.job().ended(), "listed", job.allPublished());
 			return;
 		}
-		if (!this.parts.owners().ownedHere(job.job().id())) {
+		if (!this.dependencies.owners().ownedHere(job.job().id())) {
 			if (job.phase() == OwnedJob.Phase.READY) {
 				LOG.info("job_left", "job", job.job().id(), "open_items", job.openCount());
 				job.stopRuns();
-				job.phase(OwnedJob.Phase.KNOWN);
+				job.phase(OwnedJob.Phase.NOT_LOADED);
 			}
-			job.resultsKnown();
-			if (job.hasFinished()) {
-				this.lister.flush(job);
+			job.assumeResults();
+			if (job.hasUnpublished()) {
+				this.publisher.publish(job);
 			}
 			return;
 		}
-		if (job.phase() == OwnedJob.Phase.KNOWN) {
-			this.loading.load(job);
+		if (job.phase() == OwnedJob.Phase.NOT_LOADED) {
+			this.loader.load(job);
 			return;
 		}
 		if (job.phase() == OwnedJob.Phase.READY) {
-			giveUp(job);
-			this.lister.list(job);
-			long now = this.parts.ticker().nanos();
+			giveUpItems(job);
+			this.publisher.publishIfDue(job);
+			long now = this.dependencies.ticker().nanos();
 			job.runs().stream().filter((run) -> run.mayStart(now)).forEach(ready::add);
 		}
 	}
 
-	private void done(OwnedJob job) {
+	private void markDone(OwnedJob job) {
 		job.phase(OwnedJob.Phase.DONE);
 		job.stopRuns();
-		this.claims.forget(job.job().id());
+		this.authority.revoke(job.job().id());
 	}
 
 	/**
-	 * Gives up items that have used up their time or their attempts, or whose route is
-	 * gone. A process that has not seen the configuration by which the job was accepted
-	 * does not know the route yet, which must not look as if it were gone.
+	 * Gives up items that have exceeded the retention period or the number of attempts,
+	 * or whose route is gone. Does nothing while this process has an older configuration
+	 * than the one under which the job was accepted: a route that is new to it must not
+	 * look like one that is gone.
 	 * @param job the job
 	 */
-	private void giveUp(OwnedJob job) {
-		Optional<Configuration> configuration = this.parts.configuration().present();
+	private void giveUpItems(OwnedJob job) {
+		Optional<Configuration> configuration = this.dependencies.configuration().present();
 		if (configuration.isEmpty() || configuration.get().version() < job.job().configurationVersion()) {
 			return;
 		}
 		Optional<Route> route = configuration.get().route(job.job().host(), job.job().path());
-		long age = this.parts.wallMillis().get() - job.job().acceptedMillis();
+		long age = this.dependencies.wallMillis().get() - job.job().acceptedMillis();
 		long due = job.job().acceptedMillis() + route.map(Route::completionGoal).orElse(Duration.ZERO).toMillis();
 		job.dueMillis(due);
 		for (ItemRun run : job.runs()) {
 			run.dueMillis(due);
-			boolean over = route.isEmpty() || age > route.get().retention().toMillis()
+			boolean givenUp = route.isEmpty() || age > route.get().retention().toMillis()
 					|| run.serverErrors() >= route.get().maxAttempts();
-			if (over) {
+			if (givenUp) {
 				run.stop();
 				LOG.info("item_given_up", "job", job.job().id(), "item", run.item().id(), "route_present",
 						route.isPresent(), "age_ms", age, "server_errors", run.serverErrors());
-				this.parts.metrics().itemEnded(false);
-				job.finish(ItemOutcome.givenUp(run.item().id()), this.parts.ticker().nanos());
+				this.dependencies.metrics().itemEnded(false);
+				job.finish(ItemOutcome.givenUp(run.item().id()), this.dependencies.ticker().nanos());
 			}
 		}
 	}
 
 	/**
-	 * Acts on what becomes of runs.
+	 * Handles the results of runs.
 	 */
-	private final class Runs implements ItemRun.ItemListener {
+	private final class RunHandler implements ItemRun.RunListener {
 
 		@Override
 		public void ended(ItemRun run, Optional<ItemOutcome> outcome) {
 			OwnedJob job = JobRunner.this.jobs.get(run.job().id());
 			if (outcome.isPresent() && job != null) {
-				JobRunner.this.parts.metrics().itemEnded(outcome.get().completed());
+				JobRunner.this.dependencies.metrics().itemEnded(outcome.get().completed());
 				if (outcome.get().completed()) {
-					long nanos = JobRunner.this.parts.ticker().nanos() - run.firstStartedNanos();
-					JobRunner.this.order.finished(nanos / 1_000_000, run.lastEvent());
+					long nanos = JobRunner.this.dependencies.ticker().nanos() - run.firstStartedNanos();
+					JobRunner.this.order.recordCompletion(nanos / 1_000_000, run.lastEvent());
 				}
-				job.finish(outcome.get(), JobRunner.this.parts.ticker().nanos());
+				job.finish(outcome.get(), JobRunner.this.dependencies.ticker().nanos());
 			}
-			JobRunner.this.parts.timers().schedule(Duration.ZERO, JobRunner.this::pump);
+			JobRunner.this.dependencies.timers().schedule(Duration.ZERO, JobRunner.this::schedule);
 		}
 
 		@Override
 		public void refused(TrackedUpstream upstream) {
-			upstream.avoid(nanosAfter(AVOID_FULL));
+			upstream.avoid(nanosAfter(FULL_COOLDOWN));
 		}
 
 		@Override
 		public void failed(TrackedUpstream upstream) {
 			if (upstream.failed() > 1) {
-				upstream.avoid(nanosAfter(AVOID));
+				upstream.avoid(nanosAfter(FAILURE_COOLDOWN));
 			}
 		}
 
 		@Override
-		public long nanosAfter(Duration pause) {
-			return JobRunner.this.parts.ticker().nanos() + pause.toNanos();
+		public long nanosAfter(Duration delay) {
+			return JobRunner.this.dependencies.ticker().nanos() + delay.toNanos();
 		}
 
 	}
@@ -338,32 +345,37 @@
 	 * What a runner uses.
 	 *
 	 * @param store the jobs
-	 * @param progress how far their items are
-	 * @param owners tells whose jobs they are
-	 * @param settled tells whether it is known which processes run jobs, and what they
-	 * have at upstreams
-	 * @param turns the processes that run jobs and their order at upstreams
-	 * @param configuration what the operator configured
+	 * @param progress the saved progress of items
+	 * @param owners decides which process owns a job
+	 * @param membershipSettled returns whether this process knows which processes run
+	 * jobs, and their load at the upstreams
+	 * @param slotClaimOrder gives the processes that run jobs, and the order in which
+	 * they claim slots
+	 * @param configuration the configuration in force
 	 * @param upstreams the upstreams that take requests
-	 * @param placement chooses one of them
-	 * @param connections leads to them
+	 * @param placement chooses an upstream for an item
+	 * @param connections the connections to upstreams
 	 * @param headers the names of headers
-	 * @param ticker the time
+	 * @param ticker the monotonic clock
 	 * @param wallMillis the time of day, Unix milliseconds
 	 * @param timers runs tasks later, on the event loop
-	 * @param draw draws numbers from 0 to below 1
+	 * @param random draws random numbers from 0 (inclusive) to 1 (exclusive)
 	 * @param loop the event loop
-	 * @param metrics counts what happens
-	 * @param queuePatience how long an item may be without an answer at an engine
-	 * @param pauses how often this process was paused so far
-	 * @param processes the runs of processes that may own jobs, as far as this one hears
-	 * @param tellListings tells the peers what has changed of the listings
+	 * @param metrics the metrics to update
+	 * @param maxQueueTime how long an item may wait for its first response in an engine's
+	 * queue
+	 * @param pauseCount how often this process has been paused so far
+	 * @param liveRunners the incarnations of processes that may own jobs and that this
+	 * process hears from
+	 * @param sendReport sends the peers a report at once, with the current published
+	 * results
 	 */
-	public record Dependencies(JobStore store, ProgressStore progress, JobOwners owners, BooleanSupplier settled,
-			Supplier<BatchTurns> turns, ConfigurationInForce configuration, UpstreamRegistry upstreams,
-			Placement placement, ConnectionPool connections, HeaderNames headers, Ticker ticker,
-			Supplier<Long> wallMillis, Timers timers, DoubleSupplier draw, Executor loop, GatewayMetrics metrics,
-			Duration queuePatience, IntSupplier pauses, Supplier<Set<String>> processes, Runnable tellListings) {
+	public record Dependencies(JobStore store, ProgressStore progress, JobOwners owners,
+			BooleanSupplier membershipSettled, Supplier<BatchTurns> slotClaimOrder, ConfigurationInForce configuration,
+			UpstreamRegistry upstreams, Placement placement, ConnectionPool connections, HeaderNames headers,
+			Ticker ticker, Supplier<Long> wallMillis, Timers timers, DoubleSupplier random, Executor loop,
+			GatewayMetrics metrics, Duration maxQueueTime, IntSupplier pauseCount, Supplier<Set<String>> liveRunners,
+			Runnable sendReport) {
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobStore.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobStore.java
@@ -22,27 +22,28 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Batch jobs in the platform's store.
+ * Stores batch jobs and their results on the platform.
  * <p>
- * Results are listed in segments, numbered from 0. A segment is created only if there is
- * none of its number, and by a process that has read all before it. So a position never
- * changes and no item stands at two positions, whichever processes believe that they own
- * the job: the slower one meets a conflict, reads what the other listed and goes on after
- * it.
+ * Results are stored in segments, numbered from 0. A segment is created only if there is
+ * none of its number, and only by a process that has read all segments before it. So the
+ * position of a result never changes, and no item has two positions, whichever processes
+ * believe that they own the job: the slower one gets a conflict, reads what the other has
+ * published and continues after it.
  */
 public final class JobStore {
 
 	/**
-	 * Text of one object, in characters; what escaping adds fits below the store's limit.
+	 * Maximum text of one object, in characters; with what escaping adds, the object
+	 * stays below the store's size limit.
 	 */
-	static final int CHUNK_CHARS = 600_000;
+	static final int MAX_OBJECT_CHARS = 600_000;
 
-	/** The pause after the store did not answer, or did not take a call. */
-	static final Duration AGAIN = Duration.ofMillis(300);
+	/** Pause before a retry after the store did not answer or refused a call. */
+	static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
-	private static final Pattern PLAIN = Pattern.compile("[a-z0-9]{1,64}");
+	private static final Pattern UNQUALIFIED_ID = Pattern.compile("[a-z0-9]{1,64}");
 
-	private static final Pattern OF_ACCOUNT = Pattern.compile("[a-z0-9]{1,64}/[a-z0-9]{1,64}");
+	private static final Pattern QUALIFIED_ID = Pattern.compile("[a-z0-9]{1,64}/[a-z0-9]{1,64}");
 
 	private final RecordStore store;
 
@@ -55,8 +56,8 @@
 
 	/**
 	 * Returns the jobs of a store.
-	 * @param store the platform's store
-	 * @param writer writes to it
+	 * @param store reads from the platform's store
+	 * @param writer writes to the platform's store
 	 * @return the jobs
 	 */
 	public static JobStore of(RecordStore store, ConditionalWriter writer) {
@@ -64,32 +65,32 @@
 	}
 
 	/**
-	 * Keeps a new job. Items that are too large for one object are kept before the job
-	 * itself, so that a job is there whole or not at all.
+	 * Stores a new job. Items that are too large for one object are stored before the job
+	 * itself, so that a job is stored completely or not at all.
 	 * @param job the job with its items
-	 * @return whether it is new; otherwise a job of that id is kept already
+	 * @return whether the job is new; otherwise a job of that id exists
 	 */
 	public CompletableFuture<Boolean> create(Job job) {
 		List<List<JobItem>> chunks = chunks(job.items());
 		if (chunks.size() <= 1) {
-			return created(key(Kind.JOB, job.id()), JobDocuments.write(job));
+			return createIfAbsent(key(Kind.JOB, job.id()), JobDocuments.writeJob(job));
 		}
 		List<CompletableFuture<Boolean>> written = new ArrayList<>();
 		for (int n = 0; n < chunks.size(); n++) {
-			written.add(created(partKey(Kind.CHUNK, job.id(), n), JobDocuments.writeItems(chunks.get(n))));
+			written.add(createIfAbsent(partKey(Kind.CHUNK, job.id(), n), JobDocuments.writeItems(chunks.get(n))));
 		}
 		Job head = new Job(job.id(), job.account(), job.host(), job.path(), job.acceptedMillis(),
 				job.configurationVersion(), job.itemCount(), chunks.size(), job.tokens(), false, List.of());
 		return CompletableFuture.allOf(written.toArray(CompletableFuture[]::new))
-			.thenCompose((done) -> created(key(Kind.JOB, job.id()), JobDocuments.write(head)));
+			.thenCompose((done) -> createIfAbsent(key(Kind.JOB, job.id()), JobDocuments.writeJob(head)));
 	}
 
 	private static List<List<JobItem>> chunks(List<JobItem> items) {
 		List<List<JobItem>> chunks = new ArrayList<>();
-		int size = CHUNK_CHARS;
+		int size = MAX_OBJECT_CHARS;
 		for (JobItem item : items) {
 			int length = item.body().length() + item.path().length() + item.headers().toString().length();
-			if (size + length > CHUNK_CHARS) {
+			if (size + length > MAX_OBJECT_CHARS) {
 				chunks.add(new ArrayList<>());
 				size = 0;
 			}
@@ -99,66 +100,66 @@
 		return chunks;
 	}
 
-	private CompletableFuture<Boolean> created(ObjectKey key, String text) {
+	private CompletableFuture<Boolean> createIfAbsent(ObjectKey key, String text) {
 		return this.writer.create(key, text, Labels.empty()).handle((stored, failure) -> {
 			if (failure == null) {
 				return true;
 			}
-			if (conflict(failure)) {
+			if (isConflict(failure)) {
 				return false;
 			}
 			throw new CompletionException(Failures.root(failure));
 		});
 	}
 
-	private static boolean conflict(Throwable failure) {
+	private static boolean isConflict(Throwable failure) {
 		return ConditionalWriter.codeOf(failure).filter((code) -> code == ErrorCode.STORE_CONFLICT).isPresent();
 	}
 
 	/**
 	 * Reads a job.
 	 * @param id the job's id
-	 * @return the job, its items only if they are in the same object, or empty if there
-	 * is none
+	 * @return the job, with its items only if they are in the same object, or empty if
+	 * there is none
 	 */
 	public CompletableFuture<Optional<Job>> read(String id) {
 		return this.store.read(key(Kind.JOB, id)).thenApply((found) -> found.map(JobStore::job));
 	}
 
 	/**
-	 * Reads a job, perhaps as it was some seconds ago. But for its end a job does not
-	 * change, so a copy of the store is enough to answer callers; only where the copy has
-	 * none is the store itself asked. On a calm day 182 of 1,132 calls were such reads.
+	 * Reads a job, possibly in a version that is some seconds old. A job changes only
+	 * when it is ended, so a read from a copy of the store is enough to answer callers;
+	 * the store itself is read only if the copy has no such job. Such reads were 182 of
+	 * the 1,132 store calls of a day with little load.
 	 * @param id the job's id
-	 * @return the job, its items only if they are in the same object, or empty if there
-	 * is none
+	 * @return the job, with its items only if they are in the same object, or empty if
+	 * there is none
 	 */
-	public CompletableFuture<Optional<Job>> readOlder(String id) {
-		return older(key(Kind.JOB, id)).thenApply((found) -> found.map(JobStore::job));
+	public CompletableFuture<Optional<Job>> readPossiblyStale(String id) {
+		return readPossiblyStale(key(Kind.JOB, id)).thenApply((found) -> found.map(JobStore::job));
 	}
 
 	/**
-	 * Reads an object that never changes once it is there, or of which an older version
-	 * will do.
-	 * @param key which object
+	 * Reads an object that never changes, or of which an older version is good enough.
+	 * @param key the object's key
 	 * @return the object, or empty if the store has none
 	 */
-	private CompletableFuture<Optional<Stored>> older(ObjectKey key) {
+	private CompletableFuture<Optional<Stored>> readPossiblyStale(ObjectKey key) {
 		return this.store.readCopy(key)
 			.thenCompose((copy) -> copy.isPresent() ? CompletableFuture.completedFuture(copy) : this.store.read(key));
 	}
 
 	/**
-	 * Reads a job from an object that a listing or a watch showed.
+	 * Parses a job from an object that a listing or a watch returned.
 	 * @param stored the object
 	 * @return the job
 	 */
 	public static Job job(Stored stored) {
-		return JobDocuments.job(stored.text());
+		return JobDocuments.readJob(stored.text());
 	}
 
 	/**
-	 * Brings a job's items to hand.
+	 * Reads the items of a job that are in further objects.
 	 * @param job the job
 	 * @return the job with its items
 	 */
@@ -168,7 +169,7 @@
 		}
 		List<CompletableFuture<Optional<Stored>>> reads = new ArrayList<>();
 		for (int n = 0; n < job.chunks(); n++) {
-			reads.add(older(partKey(Kind.CHUNK, job.id(), n)));
+			reads.add(readPossiblyStale(partKey(Kind.CHUNK, job.id(), n)));
 		}
 		return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenApply((done) -> {
 			List<JobItem> items = new ArrayList<>();
@@ -192,13 +193,13 @@
 			if (job.ended()) {
 				return CompletableFuture.completedFuture(true);
 			}
-			return this.writer.update(found.get(), JobDocuments.write(job.end())).thenApply((stored) -> true);
+			return this.writer.update(found.get(), JobDocuments.writeJob(job.asEnded())).thenApply((stored) -> true);
 		});
 	}
 
 	/**
 	 * Reads a segment of results.
-	 * @param jobId the job
+	 * @param jobId the job's id
 	 * @param number the segment's number, from 0
 	 * @return its results, or empty if it is not written yet
 	 */
@@ -207,14 +208,14 @@
 	}
 
 	/**
-	 * Reads a segment that is likely to have been there for a while: a copy of the store
-	 * has it, and a segment never changes.
-	 * @param jobId the job
+	 * Reads a segment that has probably existed for a while, so that a copy of the store
+	 * has it; segments never change.
+	 * @param jobId the job's id
 	 * @param number the segment's number, from 0
 	 * @return its results, or empty if it is not written yet
 	 */
-	public CompletableFuture<Optional<List<ItemOutcome>>> olderSegment(String jobId, int number) {
-		return older(partKey(Kind.RESULT, jobId, number)).thenApply(JobStore::outcomes);
+	public CompletableFuture<Optional<List<ItemOutcome>>> segmentPossiblyStale(String jobId, int number) {
+		return readPossiblyStale(partKey(Kind.RESULT, jobId, number)).thenApply(JobStore::outcomes);
 	}
 
 	private static Optional<List<ItemOutcome>> outcomes(Optional<Stored> found) {
@@ -223,34 +224,35 @@
 
 	/**
 	 * Writes a segment of results.
-	 * @param jobId the job
-	 * @param number the segment's number; all before it must have been read
-	 * @param outcomes its results, none of which is listed before
-	 * @return whether it was written; otherwise another process wrote that segment
+	 * @param jobId the job's id
+	 * @param number the segment's number, from 0; all segments before it must have been
+	 * read
+	 * @param outcomes its results, none of which is in an earlier segment
+	 * @return whether it was written; otherwise another process has written that segment
 	 */
 	public CompletableFuture<Boolean> append(String jobId, int number, List<ItemOutcome> outcomes) {
-		return created(partKey(Kind.RESULT, jobId, number), JobDocuments.writeOutcomes(outcomes));
+		return createIfAbsent(partKey(Kind.RESULT, jobId, number), JobDocuments.writeOutcomes(outcomes));
 	}
 
 	private static ObjectKey partKey(Kind kind, String jobId, int number) {
-		return ObjectKey.of(kind, String.format(Locale.ROOT, "%s.%05d", name(jobId), number));
+		return ObjectKey.of(kind, String.format(Locale.ROOT, "%s.%05d", objectName(jobId), number));
 	}
 
 	private static ObjectKey key(Kind kind, String jobId) {
-		return ObjectKey.of(kind, name(jobId));
+		return ObjectKey.of(kind, objectName(jobId));
 	}
 
 	/**
-	 * Makes an object name of a job's id. Ids that the store would not take as a name, or
-	 * that differ in case only, are spelled in hexadecimal.
-	 * @param jobId the id
+	 * Returns the name of a job's object. Ids that the store would not accept as a name,
+	 * or that differ only in case, are encoded in hexadecimal.
+	 * @param jobId the job's id
 	 * @return the name
 	 */
-	static String name(String jobId) {
-		if (PLAIN.matcher(jobId).matches()) {
+	static String objectName(String jobId) {
+		if (UNQUALIFIED_ID.matcher(jobId).matches()) {
 			return "j" + jobId;
 		}
-		if (OF_ACCOUNT.matcher(jobId).matches()) {
+		if (QUALIFIED_ID.matcher(jobId).matches()) {
 			return "a" + jobId.replace('/', '-');
 		}
 		return "x" + HexFormat.of().formatHex(jobId.getBytes(StandardCharsets.UTF_8));
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/OwnedJob.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/OwnedJob.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * A job as the process that may run it sees it.
+ * The state of a job in a process that may run it.
  */
 final class OwnedJob {
 
-	private final Map<String, ItemRun> open = new LinkedHashMap<>();
+	private final Map<String, ItemRun> openRuns = new LinkedHashMap<>();
 
-	private final Set<String> listed = new HashSet<>();
+	private final Set<String> published = new HashSet<>();
 
-	private final List<ItemOutcome> finished = new ArrayList<>();
+	private final List<ItemOutcome> unpublished = new ArrayList<>();
 
 	private Job job;
 
-	private Phase phase = Phase.KNOWN;
+	private Phase phase = Phase.NOT_LOADED;
 
 	private int segments;
 
@@ -28,15 +28,15 @@
 
 	private boolean mayHaveResults;
 
-	private long oldestFinishedNanos;
+	private long oldestUnpublishedNanos;
 
-	/** When its results are due, Unix milliseconds. */
+	/** When the results are due, Unix milliseconds. */
 	private long dueMillis;
 
 	/**
-	 * Makes a job of which nothing was read.
+	 * Creates a job that is not loaded.
 	 * @param job the job
-	 * @param mayHaveResults whether some process may have listed results of it
+	 * @param mayHaveResults whether some process may have published results of it
 	 */
 	OwnedJob(Job job, boolean mayHaveResults) {
 		this.job = job;
@@ -44,21 +44,22 @@
 	}
 
 	/**
-	 * Tells whether results have to be looked for before items are run. A job that was
-	 * accepted a moment ago, and belongs to this process, has none; looking would be one
-	 * of four store calls of a usual job. Should another process have run it all the
-	 * same, the first writing of results meets a conflict, and they are read then.
-	 * @return whether to look
+	 * Returns whether published results have to be read before items are run. A job that
+	 * was accepted a moment ago, and belongs to this process, has none; reading them
+	 * would be one of the four store calls of a typical job. Should another process have
+	 * run it nevertheless, the first write of results meets a conflict, and they are read
+	 * then.
+	 * @return whether to read them
 	 */
 	boolean mayHaveResults() {
 		return this.mayHaveResults;
 	}
 
 	/**
-	 * Learns that this process goes by what it knows now; from here on others may list
-	 * results as well.
+	 * Marks the job as one that may have published results. Called when this process
+	 * starts to act on what it knows, since others may publish results from then on.
 	 */
-	void resultsKnown() {
+	void assumeResults() {
 		this.mayHaveResults = true;
 	}
 
@@ -84,189 +85,189 @@
 
 	/**
 	 * Returns how many segments the store may have from this process.
-	 * @return those that it has for sure, and the one that is being written
+	 * @return the number of known segments, and the one that is being written
 	 */
 	int maxSegments() {
 		return this.segments + (this.writing ? 1 : 0);
 	}
 
 	/**
-	 * Takes in a segment of results that the store has. One can be seen twice: its
-	 * writing is answered late, and it is read meanwhile.
-	 * @param number the segment's number; only the next one is taken
-	 * @param outcomes the results
+	 * Adds a published segment. A segment can arrive twice: read from the store, and in
+	 * the late answer to its write.
+	 * @param number the segment's number; ignored unless it is the next one
+	 * @param outcomes the results in the segment
 	 */
-	void listed(int number, List<ItemOutcome> outcomes) {
+	void addSegment(int number, List<ItemOutcome> outcomes) {
 		if (number != this.segments) {
 			return;
 		}
 		this.segments++;
 		for (ItemOutcome outcome : outcomes) {
-			this.listed.add(outcome.itemId());
-			ItemRun run = this.open.remove(outcome.itemId());
+			this.published.add(outcome.itemId());
+			ItemRun run = this.openRuns.remove(outcome.itemId());
 			if (run != null) {
 				run.stop();
 			}
 		}
-		this.finished.removeIf((outcome) -> this.listed.contains(outcome.itemId()));
+		this.unpublished.removeIf((outcome) -> this.published.contains(outcome.itemId()));
 	}
 
 	/**
-	 * Begins with the items that are neither listed nor finished. A finished one whose
-	 * result the store has not taken yet must not run again: going on from its saved
+	 * Creates the runs of all items that are neither published nor finished. A finished
+	 * item whose result is not stored yet must not run again: resumed from its saved
 	 * progress it ends soon, and a caller reads it at two positions, as happened on one
 	 * of 40 days.
 	 */
-	void open() {
+	void openItems() {
 		for (JobItem item : this.job.items()) {
-			if (!ended(item.id()) && !this.open.containsKey(item.id())) {
-				this.open.put(item.id(), new ItemRun(this.job, item));
+			if (!hasOutcome(item.id()) && !this.openRuns.containsKey(item.id())) {
+				this.openRuns.put(item.id(), new ItemRun(this.job, item));
 			}
 		}
 	}
 
-	private boolean ended(String itemId) {
-		return this.listed.contains(itemId)
-				|| this.finished.stream().anyMatch((outcome) -> outcome.itemId().equals(itemId));
+	private boolean hasOutcome(String itemId) {
+		return this.published.contains(itemId)
+				|| this.unpublished.stream().anyMatch((outcome) -> outcome.itemId().equals(itemId));
 	}
 
 	/**
-	 * Returns the items that are neither finished nor listed.
+	 * Returns the items that are neither finished nor published.
 	 * @return the items, in the order of the job
 	 */
 	List<ItemRun> runs() {
-		return List.copyOf(this.open.values());
+		return List.copyOf(this.openRuns.values());
 	}
 
 	int openCount() {
-		return this.open.size();
+		return this.openRuns.size();
 	}
 
 	/**
-	 * Returns the tokens of the items that have not ended.
-	 * @return those of all items while the job is not read
+	 * Returns the tokens of the unfinished items.
+	 * @return their tokens, or those of all items while the job is not loaded
 	 */
 	long openTokens() {
-		return (this.phase == Phase.READY) ? this.open.values().stream().mapToLong((run) -> run.item().tokens()).sum()
-				: this.job.tokens();
+		return (this.phase == Phase.READY)
+				? this.openRuns.values().stream().mapToLong((run) -> run.item().tokens()).sum() : this.job.tokens();
 	}
 
 	/**
-	 * Takes the outcome of an item, unless it has one.
-	 * @param outcome how it ended
+	 * Records the outcome of an item, unless it has one.
+	 * @param outcome the outcome
 	 * @param nowNanos the ticker's reading
 	 */
 	void finish(ItemOutcome outcome, long nowNanos) {
-		this.open.remove(outcome.itemId());
-		if (ended(outcome.itemId())) {
+		this.openRuns.remove(outcome.itemId());
+		if (hasOutcome(outcome.itemId())) {
 			return;
 		}
-		if (this.finished.isEmpty()) {
-			this.oldestFinishedNanos = nowNanos;
+		if (this.unpublished.isEmpty()) {
+			this.oldestUnpublishedNanos = nowNanos;
 		}
-		this.finished.add(outcome);
+		this.unpublished.add(outcome);
 	}
 
 	/**
-	 * Returns a number that changes as items advance.
-	 * @return events of open items, and how many items wait to be listed
+	 * Returns a number that changes when an item makes progress.
+	 * @return the events of open items plus the number of unpublished outcomes
 	 */
-	long advance() {
-		return this.open.values().stream().mapToLong(ItemRun::lastEvent).sum() + this.finished.size();
+	long progressMarker() {
+		return this.openRuns.values().stream().mapToLong(ItemRun::lastEvent).sum() + this.unpublished.size();
 	}
 
 	/**
-	 * Returns how far the items are that are not listed.
-	 * @return the progress of those that have some
+	 * Returns the progress of the items that are not published.
+	 * @return the progress of each item that has any
 	 */
 	List<ItemProgress> progress() {
 		List<ItemProgress> items = new ArrayList<>();
-		this.finished.stream()
+		this.unpublished.stream()
 			.filter(ItemOutcome::completed)
-			.forEach((outcome) -> items.add(ItemProgress.whole(this.job.id(), outcome)));
-		this.open.values().forEach((run) -> run.progress().ifPresent(items::add));
+			.forEach((outcome) -> items.add(ItemProgress.completed(this.job.id(), outcome)));
+		this.openRuns.values().forEach((run) -> run.progress().ifPresent(items::add));
 		return items;
 	}
 
 	/**
-	 * Takes over how far an open item is.
-	 * @param saved its progress as an earlier owner has saved it
+	 * Resumes an open item from saved progress.
+	 * @param saved the progress that an earlier owner has saved
 	 * @param nowNanos the ticker's reading
 	 */
-	void goOnAfter(ItemProgress saved, long nowNanos) {
-		ItemRun run = this.open.get(saved.itemId());
-		if (saved.whole()) {
+	void resumeFrom(ItemProgress saved, long nowNanos) {
+		ItemRun run = this.openRuns.get(saved.itemId());
+		if (saved.complete()) {
 			if (run != null) {
 				run.stop();
 			}
 			finish(new ItemOutcome(saved.itemId(), true, saved.output()), nowNanos);
 		}
 		else if (run != null) {
-			run.goOnAfter(saved);
+			run.resumeFrom(saved);
 		}
 	}
 
 	/**
-	 * Returns the outcomes that are not in the store, as many as one segment takes.
+	 * Returns the unpublished outcomes, as many as fit into one segment.
 	 * @return the outcomes, oldest first
 	 */
-	List<ItemOutcome> unlisted() {
-		List<ItemOutcome> batch = new ArrayList<>();
+	List<ItemOutcome> nextSegment() {
+		List<ItemOutcome> segment = new ArrayList<>();
 		int chars = 0;
-		for (ItemOutcome outcome : this.finished) {
+		for (ItemOutcome outcome : this.unpublished) {
 			chars += outcome.output().length();
-			if (!batch.isEmpty() && chars > JobStore.CHUNK_CHARS) {
+			if (!segment.isEmpty() && chars > JobStore.MAX_OBJECT_CHARS) {
 				break;
 			}
-			batch.add(outcome);
+			segment.add(outcome);
 		}
-		return batch;
+		return segment;
 	}
 
 	long dueMillis() {
 		return this.dueMillis;
 	}
 
-	void dueMillis(long due) {
-		this.dueMillis = due;
+	void dueMillis(long millis) {
+		this.dueMillis = millis;
 	}
 
-	long oldestFinishedNanos() {
-		return this.oldestFinishedNanos;
+	long oldestUnpublishedNanos() {
+		return this.oldestUnpublishedNanos;
 	}
 
-	boolean hasFinished() {
-		return !this.finished.isEmpty();
+	boolean hasUnpublished() {
+		return !this.unpublished.isEmpty();
 	}
 
-	boolean complete() {
-		return this.listed.size() >= this.job.itemCount();
+	boolean allPublished() {
+		return this.published.size() >= this.job.itemCount();
 	}
 
 	boolean writing() {
 		return this.writing;
 	}
 
-	void writing(boolean now) {
-		this.writing = now;
+	void writing(boolean inProgress) {
+		this.writing = inProgress;
 	}
 
 	void stopRuns() {
-		this.open.values().forEach(ItemRun::stop);
+		this.openRuns.values().forEach(ItemRun::stop);
 	}
 
 	/**
-	 * How far a process is with a job.
+	 * The phase of a job in a process.
 	 */
 	enum Phase {
 
-		/** Known, its results not read. */
-		KNOWN,
+		/** Items and results are not read. */
+		NOT_LOADED,
 
-		/** Its items and results are being read. */
-		READING,
+		/** Items and results are being read. */
+		LOADING,
 
-		/** Read; its items may be run. */
+		/** Everything is read; items may be run. */
 		READY,
 
 		/** Nothing is left to do. */
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ProgressStore.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ProgressStore.java
@@ -15,8 +15,8 @@
 import org.ragworthook.gateway.feed.Feed;
 
 /**
- * How far items are, in the platform's store: one object for each process that runs jobs,
- * which it replaces as a whole. Losing one costs work and nothing else.
+ * Stores the progress of items on the platform: one object for each process that runs
+ * jobs, replaced as a whole. The loss of an object costs work and nothing else.
  */
 public final class ProgressStore {
 
@@ -24,65 +24,65 @@
 
 	private final ConditionalWriter writer;
 
-	private final Feed<List<ItemProgress>> all;
+	private final Feed<List<ItemProgress>> feed;
 
 	private final ObjectKey key;
 
-	/** The object of this process as it was written last, or empty if that is unsure. */
-	private Optional<Stored> newest = Optional.empty();
+	/** The object of this process as last written, or empty if that is uncertain. */
+	private Optional<Stored> lastWritten = Optional.empty();
 
-	private ProgressStore(RecordStore store, ConditionalWriter writer, Feed<List<ItemProgress>> all, ObjectKey key) {
+	private ProgressStore(RecordStore store, ConditionalWriter writer, Feed<List<ItemProgress>> feed, ObjectKey key) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.writer = Objects.requireNonNull(writer, "writer is null");
-		this.all = Objects.requireNonNull(all, "all is null");
+		this.feed = Objects.requireNonNull(feed, "feed is null");
 		this.key = key;
 	}
 
 	/**
-	 * Returns the progress of a store.
-	 * @param store the platform's store
-	 * @param writer writes to it
-	 * @param all what all processes have written
+	 * Returns the progress in a store.
+	 * @param store reads from the platform's store
+	 * @param writer writes to the platform's store
+	 * @param feed lists the progress of all processes
 	 * @param instance the name of this process
 	 * @return the progress
 	 */
-	public static ProgressStore of(RecordStore store, ConditionalWriter writer, Feed<List<ItemProgress>> all,
+	public static ProgressStore of(RecordStore store, ConditionalWriter writer, Feed<List<ItemProgress>> feed,
 			String instance) {
-		return new ProgressStore(store, writer, all, ObjectKey.of(Kind.PROGRESS, instance));
+		return new ProgressStore(store, writer, feed, ObjectKey.of(Kind.PROGRESS, instance));
 	}
 
 	/**
-	 * Reads the progress from an object that a listing showed.
+	 * Parses the progress from an object that a listing returned.
 	 * @param stored the object
-	 * @return the items
+	 * @return the progress of items
 	 */
 	public static List<ItemProgress> progress(Stored stored) {
 		return JobDocuments.readProgress(stored.text());
 	}
 
 	/**
-	 * Replaces what this process has written. Not to be called before the last call has
-	 * completed.
-	 * @param items how far its items are
-	 * @return completes once the store has it
+	 * Replaces the progress of this process. Must not be called before the previous write
+	 * has completed.
+	 * @param items the progress of this process's items
+	 * @return completes when the object is written
 	 */
 	CompletableFuture<Void> write(List<ItemProgress> items) {
 		String text = JobDocuments.writeProgress(items);
-		CompletableFuture<Optional<Stored>> before = this.newest.isPresent()
-				? CompletableFuture.completedFuture(this.newest) : this.store.read(this.key);
-		this.newest = Optional.empty();
-		return before
+		CompletableFuture<Optional<Stored>> existing = this.lastWritten.isPresent()
+				? CompletableFuture.completedFuture(this.lastWritten) : this.store.read(this.key);
+		this.lastWritten = Optional.empty();
+		return existing
 			.thenCompose((found) -> found.isPresent() ? this.writer.update(found.get(), text)
 					: this.writer.create(this.key, text, Labels.empty()))
-			.thenAccept((stored) -> this.newest = Optional.of(stored));
+			.thenAccept((stored) -> this.lastWritten = Optional.of(stored));
 	}
 
 	/**
-	 * Reads what all processes have written.
-	 * @return the items; one can be there several times
+	 * Reads the progress of all processes.
+	 * @return the progress of items; an item can occur several times
 	 */
 	CompletableFuture<List<ItemProgress>> readAll() {
-		return this.all.list().thenApply((found) -> {
+		return this.feed.list().thenApply((found) -> {
 			List<ItemProgress> items = new ArrayList<>();
 			found.changes().forEach((change) -> change.value().ifPresent(items::addAll));
 			return items;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/PublishedResults.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/PublishedResults.java
@@ -1,14 +1,15 @@
 package org.ragworthook.gateway.job;
 
 /**
- * What the process that runs a job tells of the listing of its results.
+ * What a process reports of the published results of a job. Peers receive it as a
+ * {@code JobListing}.
  *
- * @param jobId the job
- * @param itemCount how many items it has
- * @param maxSegments how many segments the teller knows of, one that it is writing
- * included
- * @param authoritative whether nobody else can have listed more; otherwise others may
- * have
+ * @param jobId the job's id
+ * @param itemCount the number of items of the job
+ * @param maxSegments the number of segments that the process knows of, including one that
+ * it is writing
+ * @param authoritative whether no other process can have published more; otherwise others
+ * may have
  */
 public record PublishedResults(String jobId, int itemCount, int maxSegments, boolean authoritative) {
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/PublishedResultsView.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/PublishedResultsView.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * What the processes that run jobs have told of the results that are listed, so that an
- * entry need not ask the store for results that are not there yet.
+ * The published results that processes report, so that an entry need not read the store
+ * for results that do not exist yet.
  */
 @FunctionalInterface
 public interface PublishedResultsView {
 
 	/**
-	 * Returns what is told of a job.
-	 * @param jobId the job
-	 * @return the listing, which has no segment beyond those told that any entry can have
-	 * shown to a caller a second ago; empty if that is not sure, and the store has to be
-	 * asked
+	 * Returns the published results of a job if the reports are certain.
+	 * @param jobId the job's id
+	 * @return the published results, such that no entry has shown a later segment to a
+	 * caller more than a second ago; empty if that is uncertain and the store has to be
+	 * read
 	 */
 	Optional<PublishedResults> authoritative(String jobId);
 
--- /dev/null
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ResultPublisher.java
@@ -0,0 +1,96 @@
+package org.ragworthook.gateway.job;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Objects;
+
+import org.ragworthook.core.error.Failures;
+import org.ragworthook.core.log.EventLog;
+
+/**
+ * Publishes the results of jobs: appends them to the store as segments. If another
+ * process has written the segment first, or the outcome of a write is unknown, the job is
+ * loaded anew before it continues. Used on the event loop.
+ */
+final class ResultPublisher {
+
+	private static final EventLog LOG = EventLog.of(ResultPublisher.class);
+
+	private final JobRunner.Dependencies dependencies;
+
+	private final ResultAuthority authority;
+
+	private final Runnable onPublished;
+
+	/**
+	 * Creates a publisher.
+	 * @param dependencies the store, the clocks and the event loop
+	 * @param authority is notified of writes
+	 * @param onPublished runs when results were published
+	 */
+	ResultPublisher(JobRunner.Dependencies dependencies, ResultAuthority authority, Runnable onPublished) {
+		this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
+		this.authority = Objects.requireNonNull(authority, "authority is null");
+		this.onPublished = Objects.requireNonNull(onPublished, "onPublished is null");
+	}
+
+	/**
+	 * Publishes the finished items of a job if their delay has elapsed or no item is
+	 * open.
+	 * @param job the job
+	 */
+	void publishIfDue(OwnedJob job) {
+		if (!job.hasUnpublished() || job.writing()) {
+			return;
+		}
+		Duration waited = Duration.ofNanos(this.dependencies.ticker().nanos() - job.oldestUnpublishedNanos());
+		Duration untilDue = Duration.ofMillis(job.dueMillis() - this.dependencies.wallMillis().get());
+		if (job.openCount() == 0 || PublishDelay.elapsed(waited, untilDue)) {
+			publish(job);
+		}
+	}
+
+	/**
+	 * Publishes the finished items of a job now, unless a write is in progress.
+	 * @param job the job
+	 */
+	void publish(OwnedJob job) {
+		if (job.writing()) {
+			return;
+		}
+		job.writing(true);
+		this.authority.onWriteStarted(job.job().id());
+		this.dependencies.sendReport().run();
+		int number = job.segments();
+		List<ItemOutcome> outcomes = job.nextSegment();
+		this.dependencies.store().append(job.job().id(), number, outcomes).thenAcceptAsync((written) -> {
+			job.writing(false);
+			LOG.info("results_listed", "job", job.job().id(), "segment", number, "results", outcomes.size(), "written",
+					written, "open_items", job.openCount());
+			if (written) {
+				job.addSegment(number, outcomes);
+				this.authority.onWritten(job.job().id());
+				this.dependencies.sendReport().run();
+				this.onPublished.run();
+			}
+			else {
+				this.authority.revoke(job.job().id());
+				job.stopRuns();
+				job.phase(OwnedJob.Phase.NOT_LOADED);
+			}
+		}, this.dependencies.loop()).exceptionally((failure) -> {
+			LOG.warning("results_not_listed", "job", job.job().id(), "segment", number, "error",
+					Failures.root(failure));
+			this.dependencies.timers().schedule(JobStore.RETRY_DELAY, () -> {
+				job.writing(false);
+				this.authority.revoke(job.job().id());
+				if (job.phase() == OwnedJob.Phase.READY) {
+					job.stopRuns();
+					job.phase(OwnedJob.Phase.NOT_LOADED);
+				}
+			});
+			return null;
+		});
+	}
+
+}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Batch jobs: accepted once the platform's store has them, run by the process that owns
- * them, results listed at positions that never change.
+ * Batch jobs: accepted once they are in the platform's store, run by the process that
+ * owns them, and their results published at positions that never change.
  */
 package org.ragworthook.gateway.job;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/ItemOrderTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/ItemOrderTests.java
@@ -14,17 +14,17 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Which items get slots while there are fewer slots than items.
+ * The order in which items get slots while there are fewer slots than items.
  */
 class ItemOrderTests {
 
-	private static final long GOAL = 18_000;
+	private static final long COMPLETION_TARGET_MILLIS = 18_000;
 
-	private static final long USUAL = 6_000;
+	private static final long ITEM_MILLIS = 6_000;
 
-	private static final long EVENTS = 240;
+	private static final long ITEM_EVENTS = 240;
 
-	private static final long STEP = 100;
+	private static final long STEP_MILLIS = 100;
 
 	private static final int SEEDS = 6;
 
@@ -35,92 +35,94 @@
 		ItemRun run = new ItemRun(
 				new Job("job-" + id, Optional.empty(), "h", "/p", acceptedMillis, 1, 1, 0, 1, false, List.of(item)),
 				item);
-		run.dueMillis(acceptedMillis + GOAL);
+		run.dueMillis(acceptedMillis + COMPLETION_TARGET_MILLIS);
 		return run;
 	}
 
-	private List<String> arranged(long nowMillis, ItemRun... runs) {
+	private List<String> sorted(long nowMillis, ItemRun... runs) {
 		List<ItemRun> list = new ArrayList<>(List.of(runs));
-		this.order.arrange(list, nowMillis);
+		this.order.sort(list, nowMillis);
 		return list.stream().map((run) -> run.item().id()).toList();
 	}
 
 	@Test
-	void shouldGoByDueTimeWhileNothingIsKnown() {
-		assertThat(arranged(1_000, item("late", 500), item("early", 0))).containsExactly("early", "late").inOrder();
+	void shouldSortByDueTimeBeforeAnyItemHasCompleted() {
+		assertThat(sorted(1_000, item("late", 500), item("early", 0))).containsExactly("early", "late").inOrder();
 	}
 
 	@Test
-	void shouldPutLastWhatCannotBeInTime() {
-		this.order.finished(USUAL, 188);
-		assertThat(arranged(12_000, item("over", 0), item("fresh", 11_000), item("due", 3_000)))
+	void shouldSortItemsThatCannotBeInTimeLast() {
+		this.order.recordCompletion(ITEM_MILLIS, 188);
+		assertThat(sorted(12_000, item("over", 0), item("fresh", 11_000), item("due", 3_000)))
 			.containsExactly("due", "fresh", "over")
 			.inOrder();
 	}
 
 	@Test
-	void shouldNotLetWaitForEverWhatIsLate() {
-		this.order.finished(USUAL, 188);
-		assertThat(arranged(2 * GOAL + 1, item("fresh", 30_000), item("old", 0))).containsExactly("old", "fresh")
+	void shouldNotStarveLateItems() {
+		this.order.recordCompletion(ITEM_MILLIS, 188);
+		assertThat(sorted(2 * COMPLETION_TARGET_MILLIS + 1, item("fresh", 30_000), item("old", 0)))
+			.containsExactly("old", "fresh")
 			.inOrder();
 	}
 
 	@Test
-	void shouldFinishFirstWhatIsFurthest() {
-		this.order.finished(USUAL, 188);
+	void shouldSortItemsWithMostEventsFirst() {
+		this.order.recordCompletion(ITEM_MILLIS, 188);
 		ItemRun half = item("half", 4_000);
-		half.goOnAfter(new ItemProgress("job-half", "half", 94, "x"));
+		half.resumeFrom(new ItemProgress("job-half", "half", 94, "x"));
 		ItemRun late = item("late", 0);
-		late.goOnAfter(new ItemProgress("job-late", "late", 10, "x"));
-		assertThat(arranged(14_000, item("early", 3_000), late, half)).containsExactly("half", "early", "late")
-			.inOrder();
+		late.resumeFrom(new ItemProgress("job-late", "late", 10, "x"));
+		assertThat(sorted(14_000, item("early", 3_000), late, half)).containsExactly("half", "early", "late").inOrder();
 	}
 
 	/**
 	 * Online requests take nearly all slots for 2.8 of every 6.6 seconds, there is more
-	 * to do than slots can do, and once nothing runs for 2.5 seconds. By due time alone
-	 * most items are worked on when their time is nearly over, and what was done of the
-	 * late ones is wasted: 316 of 1,000 are in time. With those put last that are late
-	 * anyway it is 419, and with the furthest first among the others as well 496.
+	 * work than slots, and nothing runs for 2.5 seconds once. By due time alone most
+	 * items run when they are nearly due, and the work on those that end late is wasted:
+	 * 316 of 1,000 are in time. With the late ones sorted last 419 are, and 496 if in
+	 * addition those with most events come first among the others.
 	 */
 	@Test
-	void shouldServeMoreInTimeBetweenBursts() {
-		assertThat(betweenBursts((waiting, now) -> waiting.sort(Comparator.comparingLong(ItemRun::dueMillis))))
+	void shouldCompleteMoreItemsInTimeBetweenBursts() {
+		assertThat(inTimePerMilleBetweenBursts(
+				(waiting, now) -> waiting.sort(Comparator.comparingLong(ItemRun::dueMillis))))
 			.isEqualTo(316);
-		assertThat(betweenBursts(this.order::arrange)).isEqualTo(496);
+		assertThat(inTimePerMilleBetweenBursts(this.order::sort)).isEqualTo(496);
 	}
 
-	private int betweenBursts(BiConsumer<List<ItemRun>, Long> policy) {
+	private int inTimePerMilleBetweenBursts(BiConsumer<List<ItemRun>, Long> policy) {
 		int inTime = 0;
 		int all = 0;
 		for (int seed = 1; seed <= SEEDS; seed++) {
-			BurstPlay play = new BurstPlay(policy, this.order, new Random(seed));
-			play.run();
-			inTime += play.inTime;
-			all += play.arrived;
+			BurstSimulation simulation = new BurstSimulation(policy, this.order, new Random(seed));
+			simulation.run();
+			inTime += simulation.inTime;
+			all += simulation.arrived;
 		}
 		return 1_000 * inTime / all;
 	}
 
 	/**
-	 * Nothing ran for ten seconds, since every process was killed, and items came all the
-	 * while; from then on one slot serves the items that come and those that wait. By
-	 * age, each item is worked on when its time is nearly over, and a backlog stays for
-	 * good: 15 of 100 are in time; with what is late put last, 47 are.
+	 * Nothing runs for ten seconds because every process was killed, while items keep
+	 * arriving; afterwards one slot serves new and waiting items. By age, each item runs
+	 * when it is nearly due, and the backlog never shrinks: 15 of 100 are in time. With
+	 * the late ones sorted last 47 are.
 	 */
 	@Test
-	void shouldServeMoreInTimeAfterAnOutage() {
-		assertThat(inTime((waiting, now) -> waiting.sort(Comparator.comparingLong(ItemRun::dueMillis)))).isEqualTo(15);
-		this.order.finished(1_000, 188);
-		assertThat(inTime(this.order::arrange)).isEqualTo(47);
+	void shouldCompleteMoreItemsInTimeAfterAnOutage() {
+		assertThat(inTimeAfterOutage((waiting, now) -> waiting.sort(Comparator.comparingLong(ItemRun::dueMillis))))
+			.isEqualTo(15);
+		this.order.recordCompletion(1_000, 188);
+		assertThat(inTimeAfterOutage(this.order::sort)).isEqualTo(47);
 	}
 
 	/**
-	 * Plays one slot and items of a second each.
-	 * @param policy puts the items that wait in order
-	 * @return how many of 100 end in time
+	 * Simulates one slot and items of a second each.
+	 * @param policy sorts the items that wait
+	 * @return how many of 100 items end in time
 	 */
-	private static int inTime(BiConsumer<List<ItemRun>, Long> policy) {
+	private static int inTimeAfterOutage(BiConsumer<List<ItemRun>, Long> policy) {
 		List<ItemRun> waiting = new ArrayList<>();
 		int inTime = 0;
 		int arrived = 0;
@@ -139,10 +141,10 @@
 	}
 
 	/**
-	 * A minute of slots that come and go, and of jobs of some ten items, six seconds
-	 * each.
+	 * Simulates a minute with a changing number of slots, and jobs of about ten items of
+	 * six seconds each.
 	 */
-	private static final class BurstPlay {
+	private static final class BurstSimulation {
 
 		private static final double JOBS_PER_MILLI = 0.0006;
 
@@ -156,21 +158,21 @@
 
 		private final Map<ItemRun, Long> events = new HashMap<>();
 
-		private final Map<ItemRun, Long> begun = new HashMap<>();
+		private final Map<ItemRun, Long> startedMillis = new HashMap<>();
 
 		private int arrived;
 
 		private int inTime;
 
-		BurstPlay(BiConsumer<List<ItemRun>, Long> policy, ItemOrder order, Random random) {
+		BurstSimulation(BiConsumer<List<ItemRun>, Long> policy, ItemOrder order, Random random) {
 			this.policy = policy;
 			this.order = order;
 			this.random = random;
 		}
 
 		void run() {
-			for (long now = 0; now < 60_000; now += STEP) {
-				if (this.random.nextDouble() < JOBS_PER_MILLI * STEP) {
+			for (long now = 0; now < 60_000; now += STEP_MILLIS) {
+				if (this.random.nextDouble() < JOBS_PER_MILLI * STEP_MILLIS) {
 					arrive(now);
 				}
 				boolean outage = now >= 20_000 && now < 22_500;
@@ -186,17 +188,17 @@
 			for (int n = 5 + this.random.nextInt(11); n > 0; n--) {
 				ItemRun run = item("i" + this.arrived++, now);
 				this.open.add(run);
-				this.events.put(run, (long) (EVENTS * (0.5 + this.random.nextDouble())));
+				this.events.put(run, (long) (ITEM_EVENTS * (0.5 + this.random.nextDouble())));
 			}
 		}
 
 		private void advance(ItemRun run, long now) {
-			this.begun.putIfAbsent(run, now);
-			long next = run.lastEvent() + EVENTS * STEP / USUAL;
-			run.goOnAfter(new ItemProgress(run.job().id(), run.item().id(), next, "x"));
+			this.startedMillis.putIfAbsent(run, now);
+			long next = run.lastEvent() + ITEM_EVENTS * STEP_MILLIS / ITEM_MILLIS;
+			run.resumeFrom(new ItemProgress(run.job().id(), run.item().id(), next, "x"));
 			if (next >= this.events.get(run)) {
-				this.order.finished(now + STEP - this.begun.get(run), next);
-				this.inTime += (now + STEP <= run.dueMillis()) ? 1 : 0;
+				this.order.recordCompletion(now + STEP_MILLIS - this.startedMillis.get(run), next);
+				this.inTime += (now + STEP_MILLIS <= run.dueMillis()) ? 1 : 0;
 				this.open.remove(run);
 			}
 		}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/JobReaderTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/JobReaderTests.java
@@ -22,11 +22,11 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What callers are shown of a job's results, and which calls of the store that takes.
+ * Which results a reader returns, and which store calls it makes.
  */
 class JobReaderTests {
 
-	private static final Duration WAIT = Duration.ofSeconds(1);
+	private static final Duration READ_WAIT = Duration.ofSeconds(1);
 
 	private final ManualTime time = ManualTime.of();
 
@@ -34,9 +34,9 @@
 
 	private final JobStore jobs = JobStore.of(this.store, ConditionalWriter.of(this.store, Stamps.of("t")));
 
-	private final AtomicReference<Optional<PublishedResults>> told = new AtomicReference<>(Optional.empty());
+	private final AtomicReference<Optional<PublishedResults>> reported = new AtomicReference<>(Optional.empty());
 
-	private final JobReader reader = JobReader.of(this.jobs, (jobId) -> this.told.get(), this.time);
+	private final JobReader reader = JobReader.of(this.jobs, (jobId) -> this.reported.get(), this.time);
 
 	@BeforeEach
 	void accept() {
@@ -45,8 +45,8 @@
 			.join()).isTrue();
 	}
 
-	private void told(int segments) {
-		this.told.set(Optional.of(new PublishedResults("job", 2, segments, true)));
+	private void report(int segments) {
+		this.reported.set(Optional.of(new PublishedResults("job", 2, segments, true)));
 	}
 
 	private static List<ItemOutcome> segment(String item) {
@@ -54,23 +54,23 @@
 	}
 
 	/**
-	 * A job runs for seconds, and its callers look twice a second whether there is a
-	 * result, each time at another entry. Each look was two calls of the store.
+	 * A job runs for seconds while its callers poll for results twice a second, each time
+	 * at another entry. Without reports each poll would be two store calls.
 	 */
 	@Test
-	void shouldNotAskTheStoreWhileItsOwnerTellsThatThereIsNothing() {
-		told(0);
+	void shouldNotReadTheStoreWhileTheOwnerReportsNoResults() {
+		report(0);
 		JobReader.Page page = this.reader.results("job", 0, Duration.ZERO).join().orElseThrow();
 		assertThat(page).isEqualTo(new JobReader.Page(2, 0, List.of()));
 		assertThat(this.store.reads).isEmpty();
 	}
 
 	/**
-	 * An entry that does not know for sure asks the store each time, so that it shows no
-	 * less than another entry has shown.
+	 * Without an authoritative report an entry reads the store each time, so that it
+	 * shows no fewer results than another entry has shown.
 	 */
 	@Test
-	void shouldAskTheStoreWhenItIsNotSure() {
+	void shouldReadTheStoreWithoutAnAuthoritativeReport() {
 		this.jobs.append("job", 0, segment("a")).join();
 		assertThat(this.reader.results("job", 0, Duration.ZERO).join().orElseThrow().outcomes())
 			.isEqualTo(segment("a"));
@@ -80,36 +80,36 @@
 	}
 
 	/**
-	 * A caller waits for a result up to a second. It gets one that is listed in that time
-	 * when it is listed, not at the end of the wait.
+	 * A caller waits up to a second for a result. A result that is published meanwhile is
+	 * returned at once, not at the end of the wait.
 	 */
 	@Test
-	void shouldAnswerAWaitingCallerOnceAResultIsListed() {
-		told(0);
-		CompletableFuture<Optional<JobReader.Page>> answer = this.reader.results("job", 0, WAIT);
+	void shouldAnswerAWaitingReadOnceAResultIsPublished() {
+		report(0);
+		CompletableFuture<Optional<JobReader.Page>> answer = this.reader.results("job", 0, READ_WAIT);
 		this.time.advance(Duration.ofMillis(300));
 		assertThat(answer.isDone()).isFalse();
 		this.jobs.append("job", 0, segment("a")).join();
 		this.reader.onResultsReported();
 		assertThat(answer.isDone()).isFalse();
-		told(1);
+		report(1);
 		this.reader.onResultsReported();
 		assertThat(answer.join().orElseThrow().outcomes()).isEqualTo(segment("a"));
-		this.time.advance(WAIT);
+		this.time.advance(READ_WAIT);
 	}
 
 	/**
-	 * The owner tells of a segment that it is still writing. The caller goes on waiting,
-	 * and is answered when its wait is over, whether there is a result or not.
+	 * The owner reports a segment that it is still writing. The read goes on waiting, and
+	 * is answered at the end of its wait with or without a result.
 	 */
 	@Test
-	void shouldEndTheWaitInTime() {
-		told(0);
-		CompletableFuture<Optional<JobReader.Page>> answer = this.reader.results("job", 0, WAIT);
-		told(1);
+	void shouldAnswerWhenTheWaitIsOver() {
+		report(0);
+		CompletableFuture<Optional<JobReader.Page>> answer = this.reader.results("job", 0, READ_WAIT);
+		report(1);
 		this.reader.onResultsReported();
 		assertThat(answer.isDone()).isFalse();
-		this.time.advance(WAIT);
+		this.time.advance(READ_WAIT);
 		assertThat(answer.join().orElseThrow().outcomes()).isEmpty();
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/OwnedJobTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/OwnedJobTests.java
@@ -10,7 +10,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What the owner of a job knows of its items.
+ * The items of a job as its owner knows them.
  */
 class OwnedJobTests {
 
@@ -22,52 +22,53 @@
 			new Job("job", Optional.empty(), "h", "/p", 0, 1, 2, 0, 2, false, List.of(FIRST, SECOND)), true);
 
 	@BeforeEach
-	void open() {
-		this.job.open();
+	void openItems() {
+		this.job.openItems();
 	}
 
-	private List<String> open(OwnedJob owned) {
+	private List<String> openItemIds(OwnedJob owned) {
 		return owned.runs().stream().map((run) -> run.item().id()).toList();
 	}
 
 	/**
-	 * An item has finished, and the store does not take its result, so the owner reads
-	 * the job anew. The item is not listed and not open. Taken for one that has not
-	 * begun, it runs again, goes on from its saved progress, and ends before the first
-	 * result is listed; a caller then reads the item at two positions.
+	 * An item has finished but the store refuses its result, so the owner loads the job
+	 * anew. The item is then neither published nor open. If it were run again it would
+	 * resume from its saved progress and end before the first result is published, and a
+	 * caller would read the item at two positions.
 	 */
 	@Test
-	void shouldNotBeginAnewWhatIsFinished() {
+	void shouldNotRestartAFinishedItem() {
 		this.job.finish(new ItemOutcome("first", true, "text"), 1);
-		this.job.open();
-		assertThat(open(this.job)).containsExactly("second");
+		this.job.openItems();
+		assertThat(openItemIds(this.job)).containsExactly("second");
 	}
 
 	/**
-	 * Two runs of an item end, whatever the reason. It has one result all the same.
+	 * Two runs of the same item end; only the first outcome counts.
 	 */
 	@Test
-	void shouldKeepOneResultOfAnItem() {
+	void shouldKeepOneOutcomePerItem() {
 		ItemOutcome outcome = new ItemOutcome("first", true, "text");
 		this.job.finish(outcome, 1);
 		this.job.finish(outcome, 2);
-		assertThat(this.job.unlisted()).containsExactly(outcome);
-		this.job.listed(0, List.of(outcome));
+		assertThat(this.job.nextSegment()).containsExactly(outcome);
+		this.job.addSegment(0, List.of(outcome));
 		this.job.finish(outcome, 3);
-		assertThat(this.job.hasFinished()).isFalse();
+		assertThat(this.job.hasUnpublished()).isFalse();
 	}
 
 	/**
-	 * The answer to the writing of a segment comes after the segment was read. Counted
-	 * twice, the next one would be written past a gap, and callers would wait at it.
+	 * The answer to a segment's write arrives after the segment was read from the store.
+	 * If it counted twice, the next segment would be written past a gap, at which callers
+	 * would wait for ever.
 	 */
 	@Test
-	void shouldCountASegmentOnce() {
+	void shouldAddASegmentOnce() {
 		List<ItemOutcome> outcomes = List.of(new ItemOutcome("first", true, "text"));
-		this.job.listed(0, outcomes);
-		this.job.listed(0, outcomes);
+		this.job.addSegment(0, outcomes);
+		this.job.addSegment(0, outcomes);
 		assertThat(this.job.segments()).isEqualTo(1);
-		assertThat(open(this.job)).containsExactly("second");
+		assertThat(openItemIds(this.job)).containsExactly("second");
 	}
 
 }
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/ProgressKeeperTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/ProgressSaverTests.java
@@ -29,16 +29,16 @@
 /**
  * When progress is saved, and what is read back.
  */
-class ProgressKeeperTests {
+class ProgressSaverTests {
 
 	private final AtomicLong nanos = new AtomicLong();
 
 	private final MemoryStore store = new MemoryStore();
 
-	private ProgressKeeper keeper(String instance) {
+	private ProgressSaver saver(String instance) {
 		ProgressStore progress = ProgressStore.of(this.store,
 				ConditionalWriter.of(this.store, Stamps.of("w-" + instance)), this.store, instance);
-		return new ProgressKeeper(progress, this.nanos::get, Runnable::run);
+		return new ProgressSaver(progress, this.nanos::get, Runnable::run);
 	}
 
 	private static ItemRun item(String id) {
@@ -47,124 +47,125 @@
 	}
 
 	/**
-	 * Makes a job whose items have progress.
-	 * @param progress the items; one without events is given as 0
+	 * Creates a job whose items have progress.
+	 * @param progress the last event of each item by id, 0 for none
 	 * @return the job
 	 */
 	private static List<OwnedJob> job(Map<String, Long> progress) {
 		List<JobItem> items = progress.keySet().stream().map((id) -> new JobItem(id, "/p", Map.of(), "", 1)).toList();
 		OwnedJob job = new OwnedJob(new Job("job", Optional.empty(), "h", "/p", 0, 1, items.size(), 0, 1, false, items),
 				true);
-		job.open();
+		job.openItems();
 		progress.forEach((id, last) -> {
 			if (last > 0) {
-				job.goOnAfter(new ItemProgress("job", id, last, "text of " + id + last), 1);
+				job.resumeFrom(new ItemProgress("job", id, last, "text of " + id + last), 1);
 			}
 		});
 		return List.of(job);
 	}
 
-	private void after(Duration time) {
+	private void advance(Duration time) {
 		this.nanos.addAndGet(time.toNanos());
 	}
 
 	/**
-	 * With many processes, savings of each second would be most of what the store takes.
-	 * @param processes how many run jobs
-	 * @param pauseMillis how long each waits between two savings
+	 * With many processes, a save by each of them every second would take most of the
+	 * store's capacity.
+	 * @param processes how many processes run jobs
+	 * @param intervalMillis the interval between two saves of each process
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 1000", "4, 1000", "10, 1000", "40, 4000", "320, 32000" })
-	void shouldWriteSeldomerTheMoreProcessesThereAre(int processes, long pauseMillis) {
-		ProgressKeeper keeper = keeper("one");
+	void shouldSaveLessOftenWithMoreProcesses(int processes, long intervalMillis) {
+		ProgressSaver saver = saver("one");
 		List<OwnedJob> jobs = job(Map.of("a", 3L));
-		after(Duration.ofMillis(pauseMillis - 1));
-		keeper.round(jobs, processes);
+		advance(Duration.ofMillis(intervalMillis - 1));
+		saver.saveIfDue(jobs, processes);
 		assertThat(this.store.writes).isEqualTo(0);
-		after(Duration.ofMillis(1));
-		keeper.round(jobs, processes);
+		advance(Duration.ofMillis(1));
+		saver.saveIfDue(jobs, processes);
 		assertThat(this.store.writes).isEqualTo(1);
 	}
 
 	@Test
-	void shouldNotWriteWhatIsNotNew() {
-		ProgressKeeper keeper = keeper("one");
+	void shouldNotSaveWithoutNewProgress() {
+		ProgressSaver saver = saver("one");
 		List<OwnedJob> jobs = job(Map.of("a", 3L, "b", 0L));
 		for (int round = 0; round < 5; round++) {
-			after(ProgressKeeper.LEAST_PAUSE);
-			keeper.round(jobs, 1);
+			advance(ProgressSaver.MIN_INTERVAL);
+			saver.saveIfDue(jobs, 1);
 		}
 		assertThat(this.store.writes).isEqualTo(1);
-		after(ProgressKeeper.LEAST_PAUSE);
-		keeper.round(job(Map.of("b", 0L)), 1);
+		advance(ProgressSaver.MIN_INTERVAL);
+		saver.saveIfDue(job(Map.of("b", 0L)), 1);
 		assertThat(this.store.writes).isEqualTo(1);
 	}
 
 	/**
-	 * A job moved from one owner to another, and both have saved progress of an item. The
-	 * older one must not win, whichever the store lists first.
+	 * A job has moved from one owner to another, and both have saved progress of an item.
+	 * The older progress must not win, whichever the store lists first.
 	 */
 	@Test
-	void shouldGoOnFromTheFurthestProgress() {
-		keeper("one").save(job(Map.of("a", 5L, "b", 2L))).join();
-		keeper("two").save(job(Map.of("a", 4L, "b", 9L))).join();
-		ProgressKeeper.Saved saved = keeper("three").saved().join();
-		assertThat(saved.of(item("a")).map(ItemProgress::output)).isEqualTo(Optional.of("text of a5"));
-		assertThat(saved.of(item("b")).map(ItemProgress::output)).isEqualTo(Optional.of("text of b9"));
-		assertThat(saved.of(item("c"))).isEqualTo(Optional.empty());
+	void shouldResumeFromTheFurthestProgress() {
+		saver("one").save(job(Map.of("a", 5L, "b", 2L))).join();
+		saver("two").save(job(Map.of("a", 4L, "b", 9L))).join();
+		ProgressSaver.SavedProgress saved = saver("three").readSaved().join();
+		assertThat(saved.find(item("a")).map(ItemProgress::output)).isEqualTo(Optional.of("text of a5"));
+		assertThat(saved.find(item("b")).map(ItemProgress::output)).isEqualTo(Optional.of("text of b9"));
+		assertThat(saved.find(item("c"))).isEqualTo(Optional.empty());
 	}
 
 	/**
-	 * An item has ended, and its owner is killed before the result is listed. The next
-	 * owner lists it; run anew, it would take its whole time again.
+	 * An item has completed, and its owner is killed before the result is published. The
+	 * next owner publishes it; run again, the item would take its whole time once more.
 	 */
 	@Test
-	void shouldKeepWhatWaitsToBeListed() {
+	void shouldKeepCompletedItemsUntilPublished() {
 		List<OwnedJob> jobs = job(Map.of("a", 5L, "b", 2L));
 		jobs.get(0).finish(new ItemOutcome("a", true, "all of a"), 1);
-		keeper("one").save(jobs).join();
-		OwnedJob taken = job(Map.of("a", 0L, "b", 0L)).get(0);
-		ProgressKeeper.Saved saved = keeper("two").saved().join();
-		taken.runs().forEach((run) -> saved.of(run).ifPresent((progress) -> taken.goOnAfter(progress, 1)));
-		assertThat(taken.unlisted()).containsExactly(new ItemOutcome("a", true, "all of a"));
-		assertThat(taken.runs().stream().map((run) -> run.item().id()).toList()).containsExactly("b");
-		assertThat(taken.runs().get(0).lastEvent()).isEqualTo(2);
+		saver("one").save(jobs).join();
+		OwnedJob restored = job(Map.of("a", 0L, "b", 0L)).get(0);
+		ProgressSaver.SavedProgress saved = saver("two").readSaved().join();
+		restored.runs().forEach((run) -> saved.find(run).ifPresent((progress) -> restored.resumeFrom(progress, 1)));
+		assertThat(restored.nextSegment()).containsExactly(new ItemOutcome("a", true, "all of a"));
+		assertThat(restored.runs().stream().map((run) -> run.item().id()).toList()).containsExactly("b");
+		assertThat(restored.runs().get(0).lastEvent()).isEqualTo(2);
 	}
 
 	/**
-	 * The store refuses a saving, for instance while it is away. The next one must not be
-	 * left out because nothing has come since.
+	 * A save fails, for instance because the store is unavailable. The next save must not
+	 * be skipped because there is no newer progress.
 	 */
 	@Test
-	void shouldSaveAgainWhatTheStoreDidNotTake() {
-		ProgressKeeper keeper = keeper("one");
+	void shouldSaveAgainAfterAFailedSave() {
+		ProgressSaver saver = saver("one");
 		List<OwnedJob> jobs = job(Map.of("a", 3L));
-		this.store.away = true;
-		after(ProgressKeeper.LEAST_PAUSE);
-		keeper.round(jobs, 1);
-		this.store.away = false;
-		after(ProgressKeeper.LEAST_PAUSE);
-		keeper.round(jobs, 1);
+		this.store.unavailable = true;
+		advance(ProgressSaver.MIN_INTERVAL);
+		saver.saveIfDue(jobs, 1);
+		this.store.unavailable = false;
+		advance(ProgressSaver.MIN_INTERVAL);
+		saver.saveIfDue(jobs, 1);
 		assertThat(this.store.writes).isEqualTo(1);
 	}
 
 	/**
-	 * Many jobs are taken over at one moment. One listing serves them; each its own would
-	 * be a call of the store for each job.
+	 * Many jobs are loaded at the same moment. They share one listing instead of making a
+	 * store call each.
 	 */
 	@Test
-	void shouldListOnceForJobsTakenOverTogether() {
-		ProgressKeeper keeper = keeper("one");
-		keeper.saved().join();
-		keeper.saved().join();
+	void shouldShareOneListingBetweenJobsLoadedTogether() {
+		ProgressSaver saver = saver("one");
+		saver.readSaved().join();
+		saver.readSaved().join();
 		assertThat(this.store.listings).isEqualTo(1);
-		after(Duration.ofSeconds(1));
-		keeper.saved().join();
+		advance(Duration.ofSeconds(1));
+		saver.readSaved().join();
 		assertThat(this.store.listings).isEqualTo(2);
 	}
 
 	/**
-	 * Objects in memory.
+	 * A store in memory.
 	 */
 	private static final class MemoryStore implements RecordStore, Feed<List<ItemProgress>> {
 
@@ -174,7 +175,7 @@
 
 		private int listings;
 
-		private boolean away;
+		private boolean unavailable;
 
 		private long version;
 
@@ -195,7 +196,7 @@
 		}
 
 		private CompletableFuture<Stored> put(ObjectKey key, Draft draft) {
-			if (this.away) {
+			if (this.unavailable) {
 				return CompletableFuture.failedFuture(new StoreException(ErrorCode.STORE_UNAVAILABLE, "away"));
 			}
 			this.writes++;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/job/SimulatedOwner.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/job/SimulatedOwner.java
@@ -10,36 +10,36 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * What one process that runs jobs knows of the listing of one job, for plays without a
- * network and a store.
+ * A process that runs one job, without a network and a store, for tests of the reports on
+ * published results.
  */
 public final class SimulatedOwner {
 
-	private final ListingClaims claims;
+	private final ResultAuthority authority;
 
 	private final OwnedJob job;
 
 	/**
-	 * Makes an owner that has read nothing.
-	 * @param jobId the job
-	 * @param ticker the time
-	 * @param pauses how often the process was paused
-	 * @param processes what it hears
+	 * Creates an owner that has read nothing.
+	 * @param jobId the job's id
+	 * @param ticker the monotonic clock
+	 * @param pauseCount how often the process has been paused
+	 * @param liveRunners the incarnations of processes that it hears from
 	 */
-	public SimulatedOwner(String jobId, Ticker ticker, IntSupplier pauses, Supplier<Set<String>> processes) {
-		this.claims = new ListingClaims(ticker, pauses, processes);
+	public SimulatedOwner(String jobId, Ticker ticker, IntSupplier pauseCount, Supplier<Set<String>> liveRunners) {
+		this.authority = new ResultAuthority(ticker, pauseCount, liveRunners);
 		JobItem item = new JobItem("i", "/p", Map.of(), "", 1);
 		this.job = new OwnedJob(new Job(jobId, Optional.empty(), "h", "/p", 0, 1, 1_000, 0, 1, false, List.of(item)),
 				true);
 	}
 
 	/**
-	 * Returns what the process tells.
-	 * @return the listings
+	 * Returns what the process reports.
+	 * @return the published results
 	 */
 	public List<PublishedResults> publishedResults() {
-		this.claims.look();
-		return this.claims.listing(this.job).stream().toList();
+		this.authority.refresh();
+		return this.authority.publishedResults(this.job).stream().toList();
 	}
 
 	public boolean ready() {
@@ -55,14 +55,14 @@
 	}
 
 	/**
-	 * Has read all segments that there are.
+	 * Called when all existing segments have been read.
 	 * @param segments their number
 	 */
 	public void onSegmentsRead(int segments) {
 		while (this.job.segments() < segments) {
-			this.job.listed(this.job.segments(), List.of());
+			this.job.addSegment(this.job.segments(), List.of());
 		}
-		this.claims.forget(this.job.job().id());
+		this.authority.revoke(this.job.job().id());
 		this.job.phase(OwnedJob.Phase.READY);
 	}
 
@@ -71,30 +71,30 @@
 	 */
 	public void beginWrite() {
 		this.job.writing(true);
-		this.claims.writing(this.job.job().id());
+		this.authority.onWriteStarted(this.job.job().id());
 	}
 
 	/**
-	 * Learns how a write ended.
-	 * @param written whether it is known to have met no other
+	 * Ends the write in progress.
+	 * @param written whether it is known to have met no conflict
 	 */
 	public void endWrite(boolean written) {
 		this.job.writing(false);
 		if (written) {
-			this.job.listed(this.job.segments(), List.of());
-			this.claims.written(this.job.job().id());
+			this.job.addSegment(this.job.segments(), List.of());
+			this.authority.onWritten(this.job.job().id());
 		}
 		else {
-			this.claims.forget(this.job.job().id());
+			this.authority.revoke(this.job.job().id());
 			release();
 		}
 	}
 
 	/**
-	 * Leaves the job to another process.
+	 * Releases the job to another process.
 	 */
 	public void release() {
-		this.job.phase(OwnedJob.Phase.KNOWN);
+		this.job.phase(OwnedJob.Phase.NOT_LOADED);
 	}
 
 }
