--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/Change.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/Change.java
@@ -4,16 +4,17 @@
 import java.util.Optional;
 
 /**
- * A named thing as it is now.
+ * The current state of one entry of a collection.
  *
- * @param <T> what it is
- * @param name its name in its collection
- * @param value what it is now, or empty if it is gone or cannot be used
+ * @param <T> the type of the entry
+ * @param name the entry's name in its collection
+ * @param value the entry, or empty if it was removed or cannot be parsed
  */
 public record Change<T>(String name, Optional<T> value) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks the components.
+	 * @throws NullPointerException if a component is null
 	 */
 	public Change {
 		Objects.requireNonNull(name, "name is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/Changes.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/Changes.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a collection holds, or what has changed in it.
+ * The content of a collection, or the changes in it since a version.
  *
- * @param <T> what the collection holds
- * @param changes the things concerned, oldest change first
- * @param version the version from which later changes follow
+ * @param <T> the type of the entries
+ * @param changes the current state of the entries concerned, oldest change first
+ * @param version the version after which later changes follow
  */
 public record Changes<T>(List<Change<T>> changes, long version) {
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/CoalescingDelay.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/CoalescingDelay.java
@@ -3,81 +3,81 @@
 import java.time.Duration;
 
 /**
- * Decides for how long a watch lets changes gather before it asks for them.
+ * Decides how long a watch waits after changes before it polls for the next ones.
  * <p>
- * Every process watches the same collections, so one change is a call of the store by
- * each of them, and while all upstreams register the calls grow with the square of the
- * fleet. After a pause one call takes all that has changed meanwhile. A lone change is
- * seen at once, since a watch that has nothing to tell waits at the store.
+ * Every process watches the same collections, so one change costs a store call by each of
+ * them, and while all upstreams register the number of calls grows with the square of the
+ * fleet. After a delay one call fetches all changes of that time. A single change is
+ * still seen at once, since a watch without changes is a long poll that waits at the
+ * store.
  */
 public final class CoalescingDelay {
 
-	/** How much each process adds to the pause. */
-	private static final Duration PER_PROCESS = Duration.ofMillis(25);
+	/** Delay that each other process adds. */
+	private static final Duration DELAY_PER_PROCESS = Duration.ofMillis(25);
 
 	/**
-	 * The part of an upstream's notice that may pass in a pause; what is left is enough
-	 * for a call that is not answered and for the next one.
+	 * Divides the drain notice of an upstream: the delay is at most a third of it; the
+	 * rest is enough for a call that gets no answer and the next one.
 	 */
-	private static final int PART_OF_NOTICE = 3;
+	private static final int NOTICE_DIVISOR = 3;
 
 	/**
-	 * How much each process that runs jobs adds to the pause between two looks for jobs.
+	 * Delay between two polls for jobs that each other process that runs jobs adds.
 	 */
-	private static final Duration PER_RUNNER = Duration.ofMillis(150);
+	private static final Duration DELAY_PER_RUNNER = Duration.ofMillis(150);
 
 	/**
-	 * The longest pause between two looks for jobs. The owner of a job is told of it, and
-	 * of its end, by the entry that accepted it, and looks at once; this is for when that
-	 * is lost.
+	 * Maximum delay between two polls for jobs. The entry that accepted or ended a job
+	 * tells its owner, which polls at once; the delay matters if that message is lost.
 	 */
-	static final Duration MOST_JOBS = Duration.ofMillis(1_500);
+	static final Duration MAX_JOB_DELAY = Duration.ofMillis(1_500);
 
-	private final Duration longest;
+	private final Duration max;
 
-	private CoalescingDelay(Duration longest) {
-		this.longest = longest;
+	private CoalescingDelay(Duration max) {
+		this.max = max;
 	}
 
 	/**
-	 * Returns the rule for upstreams.
-	 * @param notice how soon after an upstream says that it leaves nothing may be sent to
-	 * it any longer
-	 * @return the rule
+	 * Returns the delay for upstreams.
+	 * @param notice how soon after an upstream has announced that it drains nothing may
+	 * be sent to it any longer
+	 * @return the delay
 	 */
 	public static CoalescingDelay forDrainNotice(Duration notice) {
-		return new CoalescingDelay(notice.dividedBy(PART_OF_NOTICE));
+		return new CoalescingDelay(notice.dividedBy(NOTICE_DIVISOR));
 	}
 
 	/**
-	 * Returns the longest pause.
-	 * @return the time by which a change may be seen late
+	 * Returns the maximum delay.
+	 * @return how late a change may be seen
 	 */
 	Duration max() {
-		return this.longest;
+		return this.max;
 	}
 
 	/**
-	 * Returns the pause after changes were seen.
+	 * Returns the delay after changes were seen.
 	 * @param processes how many processes watch, this one included
-	 * @return the pause
+	 * @return the delay
 	 */
 	public Duration forProcesses(int processes) {
-		return pause(PER_PROCESS, processes, this.longest);
+		return delay(DELAY_PER_PROCESS, processes, this.max);
 	}
 
 	/**
-	 * Returns the pause after new jobs were seen.
+	 * Returns the delay after new jobs were seen.
 	 * @param runners how many processes run jobs, this one included
-	 * @return the pause
+	 * @return the delay
 	 */
 	public static Duration forJobs(int runners) {
-		return pause(PER_RUNNER, runners, MOST_JOBS);
+		return delay(DELAY_PER_RUNNER, runners, MAX_JOB_DELAY);
 	}
 
-	private static Duration pause(Duration each, int processes, Duration most) {
-		Duration pause = each.multipliedBy(Math.max(0, processes - 1));
-		return (pause.compareTo(most) < 0) ? pause : most;
+	private static Duration delay(Duration perProcess, int processes, Duration max) {
+		Duration delay = perProcess.multipliedBy(Math.max(0, processes - 1));
+		return (delay.compareTo(max) < 0) ? delay : max;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/Feed.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/Feed.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A collection at the platform.
+ * A collection on the platform that can be listed and watched.
  *
- * @param <T> what it holds
+ * @param <T> the type of the entries
  */
 public interface Feed<T> {
 
@@ -19,17 +19,17 @@
 
 	/**
 	 * Lists the collection.
-	 * @return all it holds
+	 * @return all entries
 	 */
 	CompletableFuture<Changes<T>> list();
 
 	/**
-	 * Waits for changes.
-	 * @param after the version after which to look
-	 * @param wait how long to wait for the first change
-	 * @return the changes, none if the wait was in vain, or empty if the platform does
-	 * not know what came after that version
+	 * Waits for changes after a version (long poll).
+	 * @param after the version after which changes are wanted
+	 * @param maxWait how long to wait for the first change
+	 * @return the changes, none if the wait has ended without one, or empty if the
+	 * platform no longer has the history after that version
 	 */
-	CompletableFuture<Optional<Changes<T>>> changes(long after, Duration wait);
+	CompletableFuture<Optional<Changes<T>>> changes(long after, Duration maxWait);
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/FeedFollower.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/FeedFollower.java
@@ -11,15 +11,16 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Follows a collection for as long as the process runs.
+ * Follows a collection for as long as the process runs: lists it, then watches it for
+ * changes.
  * <p>
- * A watch can be cut off, and the platform can drop the history that it would go on from.
- * Around such a moment a watch that is taken up from the last version seen may be
- * accepted and still not be told what came in between; one would notice upstreams that
- * are used long after they left, or callers refused by a configuration of the past. So
- * after any interruption the collection is listed anew.
+ * A watch can be interrupted, and the platform can drop the history that it would resume
+ * from. A watch that resumes from the last version seen may then be accepted and still
+ * miss the changes in between, so that upstreams are used long after they left, or
+ * callers are refused under an outdated configuration. So the collection is listed anew
+ * after every interruption.
  *
- * @param <T> what the collection holds
+ * @param <T> the type of the entries
  */
 public final class FeedFollower<T> {
 
@@ -33,52 +34,54 @@
 
 	private final Executor loop;
 
-	private final Duration wait;
+	private final Duration maxWait;
 
 	private final StoreHealth health;
 
-	private final Supplier<Duration> gathering;
+	private final Supplier<Duration> coalescingDelay;
 
 	private int failures;
 
 	private boolean stopped;
 
-	/** Ends the pause in which changes gather, or empty while there is none. */
-	private Optional<Runnable> pauseEnd = Optional.empty();
+	/**
+	 * Ends the coalescing delay in progress and polls at once; empty while there is none.
+	 */
+	private Optional<Runnable> pendingPoll = Optional.empty();
 
-	private FeedFollower(Feed<T> feed, FeedListener<T> listener, Timers timers, Executor loop, Duration wait,
-			StoreHealth health, Supplier<Duration> gathering) {
+	private FeedFollower(Feed<T> feed, FeedListener<T> listener, Timers timers, Executor loop, Duration maxWait,
+			StoreHealth health, Supplier<Duration> coalescingDelay) {
 		this.feed = Objects.requireNonNull(feed, "feed is null");
 		this.listener = Objects.requireNonNull(listener, "listener is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
 		this.loop = Objects.requireNonNull(loop, "loop is null");
-		this.wait = Objects.requireNonNull(wait, "wait is null");
+		this.maxWait = Objects.requireNonNull(maxWait, "maxWait is null");
 		this.health = Objects.requireNonNull(health, "health is null");
-		this.gathering = Objects.requireNonNull(gathering, "gathering is null");
+		this.coalescingDelay = Objects.requireNonNull(coalescingDelay, "coalescingDelay is null");
 	}
 
 	/**
-	 * Begins to follow a collection.
-	 * @param <T> what the collection holds
+	 * Starts to follow a collection.
+	 * @param <T> the type of the entries
 	 * @param feed the collection
-	 * @param listener takes what it holds
+	 * @param listener receives the content and the changes
 	 * @param timers runs tasks later, on the event loop
 	 * @param loop the event loop
-	 * @param wait how long one call waits for changes
-	 * @param health learns whether the platform answers
-	 * @param gathering gives the pause after changes, in which the next ones gather to be
-	 * taken by one call; zero for none
+	 * @param maxWait how long one call waits for changes
+	 * @param health is notified whether the platform answers
+	 * @param coalescingDelay gives the delay between received changes and the next poll,
+	 * so that one call fetches all changes of that time; zero for no delay
 	 * @return the follower
 	 */
 	public static <T> FeedFollower<T> start(Feed<T> feed, FeedListener<T> listener, Timers timers, Executor loop,
-			Duration wait, StoreHealth health, Supplier<Duration> gathering) {
-		FeedFollower<T> follower = new FeedFollower<>(feed, listener, timers, loop, wait, health, gathering);
+			Duration maxWait, StoreHealth health, Supplier<Duration> coalescingDelay) {
+		FeedFollower<T> follower = new FeedFollower<>(feed, listener, timers, loop, maxWait, health, coalescingDelay);
 		loop.execute(follower::list);
 		return follower;
 	}
 
 	/**
-	 * Ends the following.
+	 * Stops following the collection.
 	 */
 	public void stop() {
 		this.stopped = true;
@@ -90,10 +93,10 @@
 		}
 		this.feed.list().whenCompleteAsync((all, failure) -> {
 			if (failure != null) {
-				failed(failure);
+				onFailure(failure);
 				return;
 			}
-			answered();
+			onSuccess();
 			LOG.info("feed_listed", "feed", this.feed.name(), "entries", all.changes().size(), "version",
 					all.version());
 			this.listener.listed(all.changes());
@@ -105,69 +108,70 @@
 		if (this.stopped) {
 			return;
 		}
-		this.feed.changes(version, this.wait).whenCompleteAsync((changes, failure) -> {
+		this.feed.changes(version, this.maxWait).whenCompleteAsync((changes, failure) -> {
 			if (failure != null) {
-				failed(failure);
+				onFailure(failure);
 				return;
 			}
-			answered();
+			onSuccess();
 			if (changes.isEmpty()) {
 				LOG.info("feed_history_lost", "feed", this.feed.name(), "version", version);
 				list();
 				return;
 			}
 			changes.get().changes().forEach(this.listener::changed);
-			watchOn(changes.get());
+			watchAfterDelay(changes.get());
 		}, this.loop);
 	}
 
-	private void watchOn(Changes<T> seen) {
-		Duration pause = seen.changes().isEmpty() ? Duration.ZERO : this.gathering.get();
-		if (pause.isZero()) {
+	private void watchAfterDelay(Changes<T> seen) {
+		Duration delay = seen.changes().isEmpty() ? Duration.ZERO : this.coalescingDelay.get();
+		if (delay.isZero()) {
 			watch(seen.version());
 		}
 		else {
-			Runnable end = () -> endPause(seen.version());
-			Timers.Timer timer = this.timers.schedule(pause, end);
-			this.pauseEnd = Optional.of(() -> {
+			Runnable poll = () -> poll(seen.version());
+			Timers.Timer timer = this.timers.schedule(delay, poll);
+			this.pendingPoll = Optional.of(() -> {
 				timer.cancel();
-				end.run();
+				poll.run();
 			});
 		}
 	}
 
-	private void endPause(long version) {
-		this.pauseEnd = Optional.empty();
+	private void poll(long version) {
+		this.pendingPoll = Optional.empty();
 		watch(version);
 	}
 
 	/**
-	 * Learns that there is a change that is not to wait for others: the pause in which
-	 * changes gather is over.
+	 * Polls for changes at once if a coalescing delay is in progress. Called when there
+	 * is a change that must not wait for others.
 	 */
 	public void pollNow() {
-		this.pauseEnd.ifPresent(Runnable::run);
+		this.pendingPoll.ifPresent(Runnable::run);
 	}
 
-	private void answered() {
+	private void onSuccess() {
 		this.failures = 0;
-		this.health.answered();
+		this.health.recordSuccess();
 	}
 
-	private void failed(Throwable failure) {
+	private void onFailure(Throwable failure) {
 		this.failures++;
-		this.health.failed();
+		this.health.recordFailure();
 		LOG.warning("feed_interrupted", "feed", this.feed.name(), "failures", this.failures, "error",
 				Failures.root(failure));
-		this.timers.schedule(pause(), this::list);
+		this.timers.schedule(retryDelay(), this::list);
 	}
 
 	/**
-	 * The pause before the next try: short after a cut, so that changes are seen in time,
-	 * and at most some hundred milliseconds, since an outage is to be noticed to end.
-	 * @return the pause
+	 * Returns the delay before the next attempt: short after an interruption, so that
+	 * changes are seen in time, and at most 400 ms, so that the end of an outage is
+	 * noticed soon.
+	 * @return the delay
 	 */
-	private Duration pause() {
+	private Duration retryDelay() {
 		return Duration.ofMillis(Math.min(400, 50L << Math.min(3, this.failures - 1)));
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/FeedListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/FeedListener.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Takes what a collection holds. Called on the event loop.
+ * Receives the content of a collection and its changes. Called on the event loop.
  *
- * @param <T> what it holds
+ * @param <T> the type of the entries
  */
 public interface FeedListener<T> {
 
 	/**
-	 * Takes the whole collection.
-	 * @param all what it holds; whatever is not in it is gone
+	 * Called with the whole collection.
+	 * @param all all entries; any entry that is not among them was removed
 	 */
 	void listed(List<Change<T>> all);
 
 	/**
-	 * Takes a change.
+	 * Called with a change.
 	 * @param change the change
 	 */
 	void changed(Change<T> change);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/StoreHealth.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/StoreHealth.java
@@ -8,7 +8,7 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Whether the platform's store answers this process.
+ * Records whether the platform's store answers this process.
  */
 public final class StoreHealth {
 
@@ -16,20 +16,20 @@
 
 	private final Ticker ticker;
 
-	private final AtomicLong lostNanos = new AtomicLong();
+	private final AtomicLong downSinceNanos = new AtomicLong();
 
-	private final AtomicLong regainedNanos = new AtomicLong();
+	private final AtomicLong upSinceNanos = new AtomicLong();
 
 	private volatile boolean up = true;
 
 	private StoreHealth(Ticker ticker) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-		this.regainedNanos.set(ticker.nanos() - Duration.ofHours(1).toNanos());
+		this.upSinceNanos.set(ticker.nanos() - Duration.ofHours(1).toNanos());
 	}
 
 	/**
-	 * Returns the health of a store of which nothing is known.
-	 * @param ticker the time
+	 * Returns the health of a store that counts as up until a call fails.
+	 * @param ticker the monotonic clock
 	 * @return a new health
 	 */
 	public static StoreHealth of(Ticker ticker) {
@@ -37,30 +37,30 @@
 	}
 
 	/**
-	 * Learns that the store has answered.
+	 * Called when the store has answered.
 	 */
-	public void answered() {
+	public void recordSuccess() {
 		if (!this.up) {
 			this.up = true;
-			this.regainedNanos.set(this.ticker.nanos());
-			LOG.info("store_regained", "after_ms", (this.ticker.nanos() - this.lostNanos.get()) / 1_000_000);
+			this.upSinceNanos.set(this.ticker.nanos());
+			LOG.info("store_regained", "after_ms", (this.ticker.nanos() - this.downSinceNanos.get()) / 1_000_000);
 		}
 	}
 
 	/**
-	 * Learns that the store has not answered.
+	 * Called when the store has not answered.
 	 */
-	public void failed() {
+	public void recordFailure() {
 		if (this.up) {
 			this.up = false;
-			this.lostNanos.set(this.ticker.nanos());
+			this.downSinceNanos.set(this.ticker.nanos());
 			LOG.warning("store_lost");
 		}
 	}
 
 	/**
-	 * Tells whether the store answered last.
-	 * @return whether it did
+	 * Returns whether the store answered the last call.
+	 * @return whether it is up
 	 */
 	public boolean up() {
 		return this.up;
@@ -68,18 +68,18 @@
 
 	/**
 	 * Returns for how long the store has not answered.
-	 * @return the time, zero while it answers
+	 * @return the duration, zero while it is up
 	 */
 	public Duration downFor() {
-		return this.up ? Duration.ZERO : Duration.ofNanos(this.ticker.nanos() - this.lostNanos.get());
+		return this.up ? Duration.ZERO : Duration.ofNanos(this.ticker.nanos() - this.downSinceNanos.get());
 	}
 
 	/**
-	 * Returns how long the store has answered without a failure.
-	 * @return the time, zero while it does not answer
+	 * Returns for how long the store has answered without a failure.
+	 * @return the duration, zero while it is down
 	 */
-	public Duration steady() {
-		return this.up ? Duration.ofNanos(this.ticker.nanos() - this.regainedNanos.get()) : Duration.ZERO;
+	public Duration upFor() {
+		return this.up ? Duration.ofNanos(this.ticker.nanos() - this.upSinceNanos.get()) : Duration.ZERO;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/UpstreamFeedListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/UpstreamFeedListener.java
@@ -12,19 +12,20 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * Keeps the registry at what the platform lists.
+ * Keeps the registry of upstreams in line with the platform's collection.
  * <p>
- * Entries also lapse because the platform could not be reached by anybody, and come back
- * with their upstreams' next heartbeats. Believed at once, every upstream would be
- * dropped when an outage ends and all requests refused for seconds. So soon after an
- * outage an entry that is missing is kept for the time that heartbeats take to return.
+ * Entries expire also because nobody could reach the platform, and come back with the
+ * next heartbeats of their upstreams. If their absence were trusted at once, all
+ * upstreams would be dropped at the end of an outage, and every request refused for
+ * seconds. So for some time after an outage a missing entry is kept, until heartbeats
+ * should have restored it.
  */
 public final class UpstreamFeedListener implements FeedListener<UpstreamEntry> {
 
 	private static final EventLog LOG = EventLog.of(UpstreamFeedListener.class);
 
-	/** In how long after an outage living upstreams are listed again, by the platform. */
-	private static final Duration RETURN = Duration.ofMillis(2_000);
+	/** How soon after an outage the platform lists all live upstreams again. */
+	private static final Duration RELISTING_TIME = Duration.ofMillis(2_000);
 
 	private final UpstreamRegistry registry;
 
@@ -54,7 +55,7 @@
 	}
 
 	/**
-	 * Tells whether the platform has listed the upstreams at least once.
+	 * Returns whether the platform has listed the upstreams at least once.
 	 * @return whether it has
 	 */
 	public boolean hasListed() {
@@ -73,7 +74,7 @@
 		}
 		for (String id : this.registry.ids()) {
 			if (!present.contains(id)) {
-				gone(id);
+				onMissing(id);
 			}
 		}
 	}
@@ -84,7 +85,7 @@
 			put(change.value().get());
 		}
 		else {
-			gone(change.name());
+			onMissing(change.name());
 		}
 	}
 
@@ -93,16 +94,15 @@
 		this.registry.put(entry);
 	}
 
-	private void gone(String id) {
-		Duration steady = this.health.steady();
-		if (steady.compareTo(RETURN) >= 0) {
+	private void onMissing(String id) {
+		Duration upFor = this.health.upFor();
+		if (upFor.compareTo(RELISTING_TIME) >= 0) {
 			this.registry.remove(id, "not_listed");
 			return;
 		}
 		if (this.missing.add(id)) {
-			Duration wait = RETURN.minus(steady);
-			LOG.info("upstream_missing", "upstream", id, "store_steady_ms", steady.toMillis(), "kept_ms",
-					wait.toMillis());
+			Duration wait = RELISTING_TIME.minus(upFor);
+			LOG.info("upstream_missing", "upstream", id, "store_up_ms", upFor.toMillis(), "kept_ms", wait.toMillis());
 			this.timers.schedule(wait, () -> recheck(id));
 		}
 	}
@@ -111,11 +111,11 @@
 		if (!this.missing.remove(id)) {
 			return;
 		}
-		if (this.health.up() && this.health.steady().compareTo(RETURN) >= 0) {
+		if (this.health.up() && this.health.upFor().compareTo(RELISTING_TIME) >= 0) {
 			this.registry.remove(id, "not_listed_after_outage");
 		}
 		else {
-			gone(id);
+			onMissing(id);
 		}
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/feed/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/feed/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Follows collections at the platform: a listing, then changes, then a listing again
- * whenever the changes are interrupted.
+ * Follows collections on the platform: a listing, then a watch for changes, and a new
+ * listing whenever the watch is interrupted.
  */
 package org.ragworthook.gateway.feed;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/feed/FeedFollowerTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/feed/FeedFollowerTests.java
@@ -15,6 +15,9 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+/**
+ * When changes of a collection are delivered, and how many calls that takes.
+ */
 class FeedFollowerTests {
 
 	private static final Duration WAIT = Duration.ofSeconds(25);
@@ -23,101 +26,102 @@
 
 	private final Collection collection = new Collection();
 
-	private static final CoalescingDelay RULE = CoalescingDelay.forDrainNotice(Duration.ofSeconds(2));
+	private static final CoalescingDelay DELAY = CoalescingDelay.forDrainNotice(Duration.ofSeconds(2));
 
-	private final List<String> seen = new ArrayList<>();
+	private final List<String> delivered = new ArrayList<>();
 
 	/**
 	 * All upstreams of a fleet register within three seconds of a common start, and every
-	 * process watches them. When each watch is taken up again at once, each registration
-	 * is a call by each process: the store turns calls away, and the processes that start
-	 * last wait for their first configuration.
+	 * process watches them. Without a delay each registration is a call by each process:
+	 * the store rejects calls, and the processes that start last wait for their first
+	 * configuration.
 	 * @param processes how many processes watch
-	 * @param mostCalls how many calls one of them may make
+	 * @param maxCalls how many calls one of them may make
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 61", "11, 13", "45, 6", "300, 6" })
-	void shouldTakeManyChangesWithFewCalls(int processes, int mostCalls) {
+	void shouldCoalesceManyChangesIntoFewCalls(int processes, int maxCalls) {
 		follow(processes);
-		int before = this.collection.calls;
+		int callsBefore = this.collection.calls;
 		for (int i = 0; i < 60; i++) {
 			this.collection.change("u" + i);
 			this.time.advance(Duration.ofMillis(50));
 		}
-		this.time.advance(RULE.max());
-		assertThat(this.seen).hasSize(60);
-		assertThat(this.collection.calls - before).isAtMost(mostCalls);
+		this.time.advance(DELAY.max());
+		assertThat(this.delivered).hasSize(60);
+		assertThat(this.collection.calls - callsBefore).isAtMost(maxCalls);
 	}
 
 	/**
 	 * One upstream of a large fleet drains, and nothing else changes. Requests that are
-	 * sent there after its time to drain are lost, so this is not to wait for others.
+	 * sent to it after its drain notice are lost, so the change must not wait for others.
 	 */
 	@Test
-	void shouldSeeALoneChangeAtOnce() {
+	void shouldDeliverASingleChangeAtOnce() {
 		follow(300);
 		this.collection.change("drains");
-		assertThat(this.seen).containsExactly("drains");
+		assertThat(this.delivered).containsExactly("drains");
 	}
 
 	/**
-	 * A change comes right after another one, while the watch gathers: it is seen when
-	 * the pause is over, well within the two seconds in which it has to be known.
+	 * A change follows right after another one, during the coalescing delay. It is
+	 * delivered at the end of the delay, well within the two seconds in which it has to
+	 * be known.
 	 */
 	@Test
-	void shouldSeeTheNextChangeWithinTheLongestPause() {
+	void shouldDeliverTheNextChangeWithinTheMaximumDelay() {
 		follow(300);
 		this.collection.change("first");
 		this.collection.change("second");
-		this.time.advance(RULE.max());
-		assertThat(this.seen).containsExactly("first", "second").inOrder();
+		this.time.advance(DELAY.max());
+		assertThat(this.delivered).containsExactly("first", "second").inOrder();
 	}
 
 	/**
-	 * Every process that runs jobs watches them, and each job is run by one. Looked at by
-	 * all at once, each new job was as many calls as there are such processes.
+	 * Every process that runs jobs watches them, and each job is run by one of them.
+	 * Without a delay each new job would be a call by every such process.
 	 * @param runners how many processes run jobs
-	 * @param mostCalls how many calls one of them may make for 30 jobs in 18 seconds
+	 * @param maxCalls how many calls one of them may make for 30 jobs in 18 seconds
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 31", "4, 31", "15, 13", "300, 13" })
-	void shouldLookForJobsSeldomInALargeFleet(int runners, int mostCalls) {
+	void shouldPollForJobsLessOftenInALargeFleet(int runners, int maxCalls) {
 		follow(() -> CoalescingDelay.forJobs(runners));
-		int before = this.collection.calls;
+		int callsBefore = this.collection.calls;
 		for (int i = 0; i < 30; i++) {
 			this.collection.change("job" + i);
 			this.time.advance(Duration.ofMillis(600));
 		}
-		this.time.advance(CoalescingDelay.MOST_JOBS);
-		assertThat(this.seen).hasSize(30);
-		assertThat(this.collection.calls - before).isAtMost(mostCalls);
+		this.time.advance(CoalescingDelay.MAX_JOB_DELAY);
+		assertThat(this.delivered).hasSize(30);
+		assertThat(this.collection.calls - callsBefore).isAtMost(maxCalls);
 	}
 
 	/**
-	 * A job is accepted while its owner lets jobs gather. The entry that accepted it
-	 * tells the owner, and its items need not wait.
+	 * A job is accepted during the coalescing delay of its owner. The entry that accepted
+	 * it notifies the owner, so that its items need not wait.
 	 */
 	@Test
-	void shouldLookAtOnceWhenToldOfAJob() {
+	void shouldPollAtOnceOnRequest() {
 		FeedFollower<String> follower = follow(300);
 		this.collection.change("first");
 		this.collection.change("second");
-		assertThat(this.seen).containsExactly("first");
+		assertThat(this.delivered).containsExactly("first");
 		follower.pollNow();
-		assertThat(this.seen).containsExactly("first", "second").inOrder();
+		assertThat(this.delivered).containsExactly("first", "second").inOrder();
 		follower.pollNow();
-		this.time.advance(RULE.max());
+		this.time.advance(DELAY.max());
 		this.collection.change("third");
-		assertThat(this.seen).containsExactly("first", "second", "third").inOrder();
+		assertThat(this.delivered).containsExactly("first", "second", "third").inOrder();
 	}
 
 	private FeedFollower<String> follow(int processes) {
-		return follow(() -> RULE.forProcesses(processes));
+		return follow(() -> DELAY.forProcesses(processes));
 	}
 
-	private FeedFollower<String> follow(Supplier<Duration> gathering) {
+	private FeedFollower<String> follow(Supplier<Duration> coalescingDelay) {
 		return FeedFollower.start(this.collection, new Listener(), this.time, Runnable::run, WAIT,
-				StoreHealth.of(this.time), gathering);
+				StoreHealth.of(this.time), coalescingDelay);
 	}
 
 	private final class Listener implements FeedListener<String> {
@@ -129,7 +133,7 @@
 
 		@Override
 		public void changed(Change<String> change) {
-			FeedFollowerTests.this.seen.add(change.name());
+			FeedFollowerTests.this.delivered.add(change.name());
 		}
 
 	}
@@ -141,9 +145,9 @@
 
 		private final TreeMap<Long, String> changes = new TreeMap<>();
 
-		private CompletableFuture<Optional<Changes<String>>> waiting;
+		private CompletableFuture<Optional<Changes<String>>> pendingPoll;
 
-		private long waitingAfter;
+		private long pendingAfter;
 
 		private int calls;
 
@@ -153,17 +157,17 @@
 		}
 
 		private void answer() {
-			if (this.waiting == null || this.changes.tailMap(this.waitingAfter, false).isEmpty()) {
+			if (this.pendingPoll == null || this.changes.tailMap(this.pendingAfter, false).isEmpty()) {
 				return;
 			}
-			List<Change<String>> news = this.changes.tailMap(this.waitingAfter, false)
+			List<Change<String>> newer = this.changes.tailMap(this.pendingAfter, false)
 				.values()
 				.stream()
 				.map((name) -> new Change<>(name, Optional.of(name)))
 				.toList();
-			CompletableFuture<Optional<Changes<String>>> answered = this.waiting;
-			this.waiting = null;
-			answered.complete(Optional.of(new Changes<>(news, this.changes.lastKey())));
+			CompletableFuture<Optional<Changes<String>>> poll = this.pendingPoll;
+			this.pendingPoll = null;
+			poll.complete(Optional.of(new Changes<>(newer, this.changes.lastKey())));
 		}
 
 		@Override
@@ -180,11 +184,11 @@
 		@Override
 		public CompletableFuture<Optional<Changes<String>>> changes(long after, Duration wait) {
 			this.calls++;
-			CompletableFuture<Optional<Changes<String>>> waits = new CompletableFuture<>();
-			this.waiting = waits;
-			this.waitingAfter = after;
+			CompletableFuture<Optional<Changes<String>>> poll = new CompletableFuture<>();
+			this.pendingPoll = poll;
+			this.pendingAfter = after;
 			answer();
-			return waits;
+			return poll;
 		}
 
 	}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/feed/UpstreamFeedListenerTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/feed/UpstreamFeedListenerTests.java
@@ -14,7 +14,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Which upstreams are used while and after the platform's store is away.
+ * Which upstreams are used during and after an outage of the platform's store.
  */
 class UpstreamFeedListenerTests {
 
@@ -36,7 +36,7 @@
 				Optional.of(new UpstreamEntry(id, "svc", new Address("10.0.0.1", 80), "z", 8, draining)));
 	}
 
-	private static Change<UpstreamEntry> gone(String id) {
+	private static Change<UpstreamEntry> removed(String id) {
 		return new Change<>(id, Optional.empty());
 	}
 
@@ -45,27 +45,27 @@
 	}
 
 	@Test
-	void shouldDropAtOnceWhatIsRemoved() {
-		this.listener.changed(gone("a"));
+	void shouldDropARemovedUpstreamAtOnce() {
+		this.listener.changed(removed("a"));
 		assertThat(serving()).isEqualTo(1);
 	}
 
 	@Test
-	void shouldNotUseWhatDrains() {
+	void shouldNotUseADrainingUpstream() {
 		this.listener.changed(change("a", true));
 		assertThat(serving()).isEqualTo(1);
 	}
 
 	/**
-	 * The store was away for longer than entries last, so that all have lapsed when it is
-	 * back. The runners live; dropped at once, every request would be refused until their
-	 * next heartbeats.
+	 * The store was down for longer than the lifetime of entries, so that all have
+	 * expired when it is back. The upstreams are alive; if they were dropped at once,
+	 * every request would be refused until their next heartbeats.
 	 */
 	@Test
 	void shouldKeepLapsedEntriesUntilHeartbeatsAreBack() {
-		this.health.failed();
+		this.health.recordFailure();
 		this.time.advance(Duration.ofSeconds(5));
-		this.health.answered();
+		this.health.recordSuccess();
 		this.listener.listed(List.of());
 		assertThat(serving()).isEqualTo(2);
 		this.time.advance(Duration.ofMillis(1_000));
@@ -75,19 +75,19 @@
 	}
 
 	/**
-	 * The store goes away again before the entries are back. What is missing then says
-	 * nothing yet.
+	 * The store goes down again before the entries are back. Missing entries prove
+	 * nothing then.
 	 */
 	@Test
 	void shouldKeepLapsedEntriesThroughAnotherOutage() {
-		this.health.failed();
-		this.health.answered();
+		this.health.recordFailure();
+		this.health.recordSuccess();
 		this.listener.listed(List.of());
 		this.time.advance(Duration.ofMillis(500));
-		this.health.failed();
+		this.health.recordFailure();
 		this.time.advance(Duration.ofSeconds(4));
 		assertThat(serving()).isEqualTo(2);
-		this.health.answered();
+		this.health.recordSuccess();
 		this.time.advance(Duration.ofMillis(1_900));
 		assertThat(serving()).isEqualTo(2);
 		this.time.advance(Duration.ofMillis(4_200));
@@ -95,11 +95,11 @@
 	}
 
 	/**
-	 * An entry that can no longer be read names no upstream.
+	 * An entry that cannot be parsed names no upstream.
 	 */
 	@Test
 	void shouldDropAnEntryThatCannotBeRead() {
-		this.listener.listed(List.of(change("a", false), gone("b")));
+		this.listener.listed(List.of(change("a", false), removed("b")));
 		assertThat(this.registry.ids()).containsExactly("a");
 	}
 
