--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/BacklogReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/BacklogReports.java
@@ -10,52 +10,54 @@
 import org.ragworthook.wire.load.RouteBacklog;
 
 /**
- * What reports tell of items that wait. A process that runs jobs counts those of its
- * jobs; an entry counts the jobs that it has accepted a moment ago, which their owners
- * may not have seen yet. For that moment a job is counted twice, which errs on the side
- * of the limit.
+ * The section of load reports about batch items that wait. A process that runs jobs
+ * reports the items of the jobs it owns; an entry reports those of the jobs it has just
+ * accepted, which their owners may not have read yet. A job is counted twice while both
+ * report it, which at worst rejects a job early and never exceeds the limit.
  */
 final class BacklogReports {
 
-	private Supplier<Optional<Map<Integer, Long>>> own = Optional::empty;
+	private Supplier<Optional<Map<Integer, Long>>> owned = Optional::empty;
 
 	private Supplier<Map<Integer, Long>> accepted = Map::of;
 
-	private Map<Integer, Long> toldOnce = Map.of();
+	/** The accepted backlog that the last report contained. */
+	private Map<Integer, Long> lastReported = Map.of();
 
-	private Map<Integer, Long> told = Map.of();
+	/** The accepted backlog that at least two reports in succession contained. */
+	private Map<Integer, Long> reportedTwice = Map.of();
 
 	/**
-	 * Sets what tells of the jobs of this process.
-	 * @param backlog gives tokens by the key of route and account, or empty while it is
-	 * not known
+	 * Sets the supplier of the backlog of the jobs that this process owns.
+	 * @param backlog returns tokens by the key of route and account, or empty until the
+	 * process has read which jobs there are
 	 */
-	void own(Supplier<Optional<Map<Integer, Long>>> backlog) {
-		this.own = Objects.requireNonNull(backlog, "backlog is null");
+	void owned(Supplier<Optional<Map<Integer, Long>>> backlog) {
+		this.owned = Objects.requireNonNull(backlog, "backlog is null");
 	}
 
 	/**
-	 * Sets what tells of the jobs that this process has accepted a moment ago.
-	 * @param backlog gives tokens by the key of route and account
+	 * Sets the supplier of the backlog of the jobs that this process has just accepted.
+	 * @param backlog returns tokens by the key of route and account
 	 */
 	void accepted(Supplier<Map<Integer, Long>> backlog) {
 		this.accepted = Objects.requireNonNull(backlog, "backlog is null");
 	}
 
 	/**
-	 * Tells whether there is news that the next report is to tell, a second time in case
-	 * that the first is lost.
-	 * @return whether jobs accepted lately were told less than twice
+	 * Returns whether the next report has to be sent for the accepted backlog. Each value
+	 * is sent twice, in case the first report is lost.
+	 * @return whether the accepted backlog was reported fewer than two times
 	 */
-	boolean changed() {
-		return !this.accepted.get().equals(this.told);
+	boolean hasChanges() {
+		return !this.accepted.get().equals(this.reportedTwice);
 	}
 
 	void write(LoadReport.Builder report) {
 		Map<Integer, Long> now = this.accepted.get();
-		this.told = now.equals(this.toldOnce) ? now : Map.of();
-		this.toldOnce = now;
-		this.own.get().ifPresent((backlog) -> {
+		this.reportedTwice = now.equals(this.lastReported) ? now : Map.of();
+		this.lastReported = now;
+		this.owned.get().ifPresent((backlog) -> {
 			report.setBacklogKnown(true);
 			backlog.forEach((key, tokens) -> add(report, key, tokens));
 		});
@@ -67,13 +69,15 @@
 	}
 
 	/**
-	 * Adds up what peers and the jobs of this process tell of an account on a route.
-	 * @param reports the peers' newest reports
+	 * Returns the total of the peers' backlogs and that of the jobs of this process for
+	 * one account on one route.
+	 * @param reports the newest report of each peer
 	 * @param key the key of route and account
-	 * @return the sum
+	 * @return the waiting tokens; complete if at least one process runs jobs and each of
+	 * those that do has read which jobs there are
 	 */
 	WaitingTokens sum(List<LoadReport> reports, int key) {
-		Optional<Map<Integer, Long>> mine = this.own.get();
+		Optional<Map<Integer, Long>> mine = this.owned.get();
 		long tokens = mine.map((backlog) -> backlog.getOrDefault(key, 0L)).orElse(0L);
 		boolean runners = mine.isPresent();
 		boolean known = true;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/Kept.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/CachedValue.java
@@ -8,45 +8,45 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * A value that is put together of reports and used for a while. Used on the event loop.
+ * A value that is computed on demand and cached for a fixed time. Used on the event loop.
  *
  * @param <T> the type of the value
  */
-final class Kept<T> {
+final class CachedValue<T> {
 
 	private final Ticker ticker;
 
-	private final Duration time;
+	private final Duration lifetime;
 
 	private final Supplier<T> source;
 
 	private Optional<T> value = Optional.empty();
 
-	private long nanos;
+	private long computedNanos;
 
-	Kept(Ticker ticker, Duration time, Supplier<T> source) {
+	CachedValue(Ticker ticker, Duration lifetime, Supplier<T> source) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-		this.time = Objects.requireNonNull(time, "time is null");
+		this.lifetime = Objects.requireNonNull(lifetime, "lifetime is null");
 		this.source = Objects.requireNonNull(source, "source is null");
 	}
 
 	/**
-	 * Returns the value.
-	 * @return what was put together last, or anew if that is too long ago
+	 * Returns the cached value, or computes it if there is none or its lifetime is over.
+	 * @return the value
 	 */
 	T value() {
 		long now = this.ticker.nanos();
-		if (this.value.isEmpty() || now - this.nanos >= this.time.toNanos()) {
+		if (this.value.isEmpty() || now - this.computedNanos >= this.lifetime.toNanos()) {
 			this.value = Optional.of(this.source.get());
-			this.nanos = now;
+			this.computedNanos = now;
 		}
 		return this.value.get();
 	}
 
 	/**
-	 * Learns that the value is to be put together anew.
+	 * Discards the cached value.
 	 */
-	void forget() {
+	void invalidate() {
 		this.value = Optional.empty();
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
@@ -14,12 +14,13 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * Which processes there are and what they do, as far as this one hears.
+ * The view that this process has of all processes of the fleet, from their load reports.
+ * A peer is live while its newest report is recent.
  */
 public final class FleetView {
 
-	/** How long what is put together of reports is used: the time between two. */
-	private static final Duration KEPT = Duration.ofMillis(100);
+	/** How long values derived from reports are cached: one report interval. */
+	private static final Duration CACHE_LIFETIME = Duration.ofMillis(100);
 
 	private final Ticker ticker;
 
@@ -31,33 +32,35 @@
 
 	private boolean leaving;
 
-	private BatchTurns turns;
+	private BatchTurns slotClaimOrder;
 
-	private final Kept<List<String>> runners;
+	private final CachedValue<List<String>> ownerCandidates;
 
-	private final Kept<Set<String>> runs;
+	private final CachedValue<Set<String>> runnerStates;
 
-	private final Kept<Double> entriesHeard;
+	private final CachedValue<Double> liveEntryFraction;
 
 	FleetView(Ticker ticker, PeerTable peers, PeerIdentity self) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.peers = Objects.requireNonNull(peers, "peers is null");
 		this.self = Objects.requireNonNull(self, "self is null");
-		this.turns = BatchTurns.of(self.instance(), List.of());
-		this.runners = new Kept<>(ticker, KEPT, this::owners);
-		this.runs = new Kept<>(ticker, KEPT, this::runs);
-		this.entriesHeard = new Kept<>(ticker, KEPT, () -> (otherEntries() + 1.0) / entries());
+		this.slotClaimOrder = BatchTurns.of(self.instance(), List.of());
+		this.ownerCandidates = new CachedValue<>(ticker, CACHE_LIFETIME, this::findOwnerCandidates);
+		this.runnerStates = new CachedValue<>(ticker, CACHE_LIFETIME, this::findRunnerStates);
+		this.liveEntryFraction = new CachedValue<>(ticker, CACHE_LIFETIME,
+				() -> (liveOtherEntries() + 1.0) / knownEntries());
 	}
 
 	/**
-	 * Learns that a report has come.
+	 * Called when a report has been received, or this process has begun to leave:
+	 * computes the owner candidates anew on their next use.
 	 */
 	void changed() {
-		this.runners.forget();
+		this.ownerCandidates.invalidate();
 	}
 
 	/**
-	 * Learns that this process will stop, so that it owns no jobs any longer.
+	 * Called when this process begins to stop: it no longer owns jobs.
 	 */
 	void leave() {
 		this.leaving = true;
@@ -73,150 +76,152 @@
 	}
 
 	/**
-	 * Returns the turns as they were put together last.
-	 * @return the turns
+	 * Returns the result of the last call of {@link #slotClaimOrder()}.
+	 * @return the order in which processes claim slots
 	 */
-	BatchTurns lastTurns() {
-		return this.turns;
+	BatchTurns lastSlotClaimOrder() {
+		return this.slotClaimOrder;
 	}
 
 	/**
-	 * Sets what tells whether this process has lost the store. It is heard by its peers
-	 * all the same; if it counted as the owner of jobs, nobody would list their results.
-	 * @param condition whether it has
+	 * Sets the condition that this process has lost the store. Its peers still receive
+	 * its reports; if it remained the owner of jobs, nobody would list their results.
+	 * @param condition returns whether the store is lost to this process
 	 */
 	public void storeLost(BooleanSupplier condition) {
 		this.storeLost = Objects.requireNonNull(condition, "condition is null");
 	}
 
 	/**
-	 * Returns how many peers are heard.
+	 * Returns how many peers are known, live and able to reach the store.
 	 * @return the counts
 	 */
-	public PeerView peerView() {
-		List<LoadReport> heard = this.peers.fresh();
-		int reaching = (int) heard.stream().filter((report) -> !report.getStoreLost()).count();
-		return new PeerView(this.peers.all().size(), heard.size(), reaching);
+	public PeerCounts peerCounts() {
+		List<LoadReport> live = this.peers.liveReports();
+		int reaching = (int) live.stream().filter((report) -> !report.getStoreLost()).count();
+		return new PeerCounts(this.peers.all().size(), live.size(), reaching);
 	}
 
 	/**
-	 * Returns the processes that run jobs and are heard, this one included if it does.
-	 * Those that have lost the store are left out, unless all have: then each goes on
-	 * with what it has. Asked for each job many times a second, they are put together
-	 * anew once a round, and when a report comes.
-	 * @return their names
+	 * Returns the processes that may own jobs: those that run jobs and are live, or are
+	 * live to a peer, and this one if it runs jobs. Processes that have lost the store
+	 * are left out, unless all of them have: then each keeps the jobs it has. The result
+	 * is cached until a report arrives, for one report interval at most, since it is
+	 * asked for each job many times a second.
+	 * @return the names of the processes
 	 */
-	public List<String> jobRunners() {
-		return this.runners.value();
+	public List<String> ownerCandidates() {
+		return this.ownerCandidates.value();
 	}
 
-	private List<String> owners() {
-		RunnerView view = RunnerView.of(this.peers.fresh());
+	private List<String> findOwnerCandidates() {
+		OwnerCandidates candidates = OwnerCandidates.of(this.peers.liveReports());
 		if (this.self.runsJobs() && !this.leaving) {
-			view.add(this.self.instance(), hasLostStore());
+			candidates.add(this.self.instance(), hasLostStore());
 		}
-		return view.owners();
+		return candidates.names();
 	}
 
 	/**
-	 * Returns the processes that run jobs and that this process hears itself, whether
-	 * they reach the store or not, this one included if it does.
-	 * @return their names
+	 * Returns the processes that run jobs and whose reports this process receives itself,
+	 * whether or not they reach the store, and this one if it runs jobs.
+	 * @return the names of the processes
 	 */
 	public List<String> liveRunners() {
-		Stream<String> heard = this.peers.fresh()
+		Stream<String> live = this.peers.liveReports()
 			.stream()
 			.filter((report) -> report.getRunsJobs() && !report.getLeaving())
 			.map(LoadReport::getInstance);
 		boolean self = this.self.runsJobs() && !this.leaving;
-		return Stream.concat(heard, Stream.of(this.self.instance()).filter((name) -> self)).toList();
+		return Stream.concat(live, Stream.of(this.self.instance()).filter((name) -> self)).toList();
 	}
 
 	/**
-	 * Returns what all processes that may run jobs tell. One that has never been heard
-	 * may be such a process; one that has said that it leaves is none any longer.
-	 * @param age how old the newest report of each may be
-	 * @return the reports, or empty if one of the processes was not heard in that time
+	 * Returns the newest reports of all peers that may run jobs. A peer that has never
+	 * reported may run jobs; one that has announced that it leaves does not.
+	 * @param maxAge the greatest allowed age of each report
+	 * @return the reports, or empty if the newest report of one of the peers is older
 	 */
-	public Optional<List<LoadReport>> allRunners(Duration age) {
-		return this.peers.allRunners(age);
+	public Optional<List<LoadReport>> runnerReports(Duration maxAge) {
+		return this.peers.runnerReports(maxAge);
 	}
 
 	/**
-	 * Returns the runs of the processes that may own jobs: those that this one hears, and
-	 * those that it is told of. They are put together anew once a round.
-	 * @return a text for each run
+	 * Returns a description of each process that may own jobs, live or live to a peer,
+	 * which changes when the process restarts, leaves, or loses or regains the store. The
+	 * result is cached for one report interval.
+	 * @return the descriptions
 	 */
-	public Set<String> runnerRuns() {
-		return this.runs.value();
+	public Set<String> runnerStates() {
+		return this.runnerStates.value();
 	}
 
-	private Set<String> runs() {
-		Set<String> runs = new HashSet<>();
-		for (LoadReport report : this.peers.fresh()) {
+	private Set<String> findRunnerStates() {
+		Set<String> states = new HashSet<>();
+		for (LoadReport report : this.peers.liveReports()) {
 			if (report.getRunsJobs()) {
-				runs.add(report.getInstance() + '@' + report.getStartedMillis() + report.getLeaving()
+				states.add(report.getInstance() + '@' + report.getStartedMillis() + report.getLeaving()
 						+ report.getStoreLost());
 			}
-			report.getHeardRunnersList().forEach((told) -> runs.add(told.getInstance()));
+			report.getHeardRunnersList().forEach((runner) -> states.add(runner.getInstance()));
 		}
-		runs.add(this.self.instance() + hasLostStore());
-		return runs;
+		states.add(this.self.instance() + hasLostStore());
+		return states;
 	}
 
 	/**
-	 * Tells whether this process knows what its peers do; until then it leaves jobs
-	 * alone.
-	 * @return whether all peers were heard, or have had the time to be
+	 * Returns whether this process knows the state of its peers well enough to take jobs.
+	 * @return whether all peers have reported, or have had the time to
 	 */
 	public boolean settled() {
 		return this.peers.settled();
 	}
 
 	/**
-	 * Returns how many other processes take callers' requests and are heard. One that
-	 * also runs jobs is not counted: reports do not tell whether it takes requests.
-	 * @return the entries without this one
+	 * Returns the number of live peers that serve callers' requests. A peer that also
+	 * runs jobs is not counted, since reports do not say whether it serves requests.
+	 * @return the number of entries other than this process
 	 */
-	public int otherEntries() {
-		return (int) this.peers.fresh().stream().filter((report) -> !report.getRunsJobs()).count();
+	public int liveOtherEntries() {
+		return (int) this.peers.liveReports().stream().filter((report) -> !report.getRunsJobs()).count();
 	}
 
 	/**
-	 * Returns how many processes take callers' requests, as far as is known, silent ones
-	 * and this one included.
-	 * @return the entries
+	 * Returns the number of processes known to serve callers' requests, live or not,
+	 * including this one. A peer that has never reported counts as an entry.
+	 * @return the number of entries
 	 */
-	public int entries() {
-		return this.peers.entries() + 1;
+	public int knownEntries() {
+		return this.peers.knownEntries() + 1;
 	}
 
 	/**
-	 * Returns which share of all entries is heard, this process included. One that is
-	 * known and was never heard counts as an entry.
-	 * @return above 0 up to 1
+	 * Returns the share of the known entries that are live, this process included. A peer
+	 * that is known and has never reported counts as an entry.
+	 * @return a fraction above 0, at most 1
 	 */
-	public double entriesHeard() {
-		return this.entriesHeard.value();
+	public double liveEntryFraction() {
+		return this.liveEntryFraction.value();
 	}
 
 	/**
-	 * Returns the turns of the processes that have items waiting. Dealt out to all that
-	 * run jobs, slots of processes without work stood empty: 78 were in use while 91
-	 * items waited, and 94 with turns among those that want some.
-	 * @return the turns among this process and those that are heard now
+	 * Returns the order in which the processes that have items waiting claim slots. An
+	 * order among all processes that run jobs left the shares of those without work
+	 * unused: 78 slots were in use while 91 items waited, against 94 slots with an order
+	 * among the processes that want some.
+	 * @return the order among this process and the live peers that want slots
 	 */
-	public BatchTurns turns() {
+	public BatchTurns slotClaimOrder() {
 		List<String> runners = Stream
 			.concat(Stream.of(this.self.instance()),
-					this.peers.fresh().stream().filter(LoadReport::getWantsSlots).map(LoadReport::getInstance))
+					this.peers.liveReports().stream().filter(LoadReport::getWantsSlots).map(LoadReport::getInstance))
 			.distinct()
 			.sorted()
 			.toList();
-		if (!runners.equals(this.turns.runners())) {
-			this.turns = BatchTurns.of(this.self.instance(), runners);
+		if (!runners.equals(this.slotClaimOrder.runners())) {
+			this.slotClaimOrder = BatchTurns.of(this.self.instance(), runners);
 		}
-		return this.turns;
+		return this.slotClaimOrder;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LeaseReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LeaseReports.java
@@ -14,31 +14,37 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * Lets a check of the configuration by one process confirm that of its peers.
+ * The section of load reports by which a successful check of the configuration in one
+ * process renews the configuration leases of its peers.
  * <p>
- * Some reports carry the clock of their sender. A process that has checked tells each
- * peer the time of its check by the peer's own clock: the last reading that it has heard,
- * and what has passed between that and the check. However long a report was on its way,
- * that is no later than the check. A peer takes it only for a configuration that is as
- * new as the checked one. Used on the event loop.
+ * Some reports contain a reading of their sender's monotonic clock. A process that has
+ * checked the configuration reports to each peer the time of the check by that peer's
+ * clock: the peer's last received reading plus the time from its receipt to the check.
+ * Since a report takes some time to arrive, the result is never later than the check,
+ * whatever the delay. A peer accepts it only if its own configuration is at least as new
+ * as the checked one. Used on the event loop.
  */
 public final class LeaseReports implements ReportPart {
 
 	private static final EventLog LOG = EventLog.of(LeaseReports.class);
 
-	/** How long a check is told of: two reports at least, since one may be lost. */
-	static final Duration TOLD = Duration.ofMillis(150);
+	/**
+	 * How long a check is repeated in reports: in two of them at least, since one may be
+	 * lost.
+	 */
+	static final Duration REPEAT_PERIOD = Duration.ofMillis(150);
 
-	/** Age of a peer's last reading from which on it is told of no checks. */
-	static final Duration SILENCE = Duration.ofSeconds(6);
+	/** Age from which a peer's clock reading is discarded and no check reported to it. */
+	static final Duration MAX_READING_AGE = Duration.ofSeconds(6);
 
 	/**
-	 * In which part of which period reports carry the clock. A reading is as good when it
-	 * is old, and all reports together are most of what processes send.
+	 * Reports contain the clock in the first {@link #CLOCK_WINDOW} of each such period
+	 * only: an old reading is as good as a new one, and reports are most of the traffic
+	 * between processes.
 	 */
 	private static final Duration CLOCK_PERIOD = Duration.ofMillis(700);
 
-	private static final Duration CLOCK_TOLD = Duration.ofMillis(100);
+	private static final Duration CLOCK_WINDOW = Duration.ofMillis(100);
 
 	private static final long NANOS_PER_MICRO = 1_000;
 
@@ -67,14 +73,14 @@
 	}
 
 	/**
-	 * Adds the checks of a process to its reports.
-	 * @param loads its reports
-	 * @param lease the lease that checks renew
-	 * @param self how this process shows itself
+	 * Adds this section to the reports of a process.
+	 * @param loads the exchange that sends and receives the reports
+	 * @param lease the lease that is renewed by checks of this process and of its peers
+	 * @param self the identity of this process
 	 * @param ticker the monotonic clock
-	 * @param version gives the version of the configuration in force
+	 * @param version returns the version of the configuration in force
 	 */
-	public static void on(LoadExchange loads, ConfigurationLease lease, PeerIdentity self, Ticker ticker,
+	public static void register(LoadExchange loads, ConfigurationLease lease, PeerIdentity self, Ticker ticker,
 			LongSupplier version) {
 		loads.add(new LeaseReports(lease, self, ticker, version, loads::flush));
 	}
@@ -82,17 +88,17 @@
 	@Override
 	public void write(LoadReport.Builder report) {
 		long now = this.ticker.nanos();
-		if (Math.floorMod(now, CLOCK_PERIOD.toNanos()) < CLOCK_TOLD.toNanos()) {
+		if (Math.floorMod(now, CLOCK_PERIOD.toNanos()) < CLOCK_WINDOW.toNanos()) {
 			report.setClockMicros(Math.floorDiv(now, NANOS_PER_MICRO));
 		}
-		if (this.checkedNanos.filter((checked) -> now - checked <= TOLD.toNanos()).isPresent()) {
-			this.clocks.values().removeIf((clock) -> now - clock.heardNanos > SILENCE.toNanos());
+		if (this.checkedNanos.filter((checked) -> now - checked <= REPEAT_PERIOD.toNanos()).isPresent()) {
+			this.clocks.values().removeIf((clock) -> now - clock.receivedNanos > MAX_READING_AGE.toNanos());
 			report.setConfigurationVersion(this.version.getAsLong());
 			this.clocks.forEach((peer,
 					clock) -> report.addConfirmations(Confirmation.newBuilder()
 						.setInstance(peer.hashCode())
 						.setStartedMillis(clock.startedMillis)
-						.setAtMicros(clock.at(this.checkedNanos.get()))));
+						.setAtMicros(clock.peerMicros(this.checkedNanos.get()))));
 		}
 	}
 
@@ -101,14 +107,15 @@
 		if (report.hasClockMicros()) {
 			this.clocks.merge(report.getInstance(),
 					new PeerClock(report.getStartedMillis(), report.getClockMicros(), this.ticker.nanos()),
-					PeerClock::later);
+					PeerClock::newer);
 		}
 		if (report.getConfirmationsCount() > 0 && report.getConfigurationVersion() <= this.version.getAsLong()) {
 			int name = this.self.instance().hashCode();
 			report.getConfirmationsList()
 				.stream()
-				.filter((told) -> told.getInstance() == name && told.getStartedMillis() == this.self.startedMillis())
-				.forEach((told) -> confirmed(report.getInstance(), told.getAtMicros()));
+				.filter((confirmation) -> confirmation.getInstance() == name
+						&& confirmation.getStartedMillis() == this.self.startedMillis())
+				.forEach((confirmation) -> confirmed(report.getInstance(), confirmation.getAtMicros()));
 		}
 	}
 
@@ -119,27 +126,27 @@
 	}
 
 	/**
-	 * A reading of a peer's clock.
+	 * A reading of a peer's monotonic clock.
 	 *
-	 * @param startedMillis the peer's run
-	 * @param micros its clock when it sent the reading
-	 * @param heardNanos the clock of this process when it came
+	 * @param startedMillis when the peer's run began, Unix time
+	 * @param sentMicros the peer's clock when it sent the reading
+	 * @param receivedNanos the clock of this process when the reading was received
 	 */
-	private record PeerClock(long startedMillis, long micros, long heardNanos) {
+	private record PeerClock(long startedMillis, long sentMicros, long receivedNanos) {
 
-		PeerClock later(PeerClock other) {
+		PeerClock newer(PeerClock other) {
 			boolean sameRun = other.startedMillis == this.startedMillis;
-			boolean newer = sameRun ? other.micros > this.micros : other.startedMillis > this.startedMillis;
+			boolean newer = sameRun ? other.sentMicros > this.sentMicros : other.startedMillis > this.startedMillis;
 			return newer ? other : this;
 		}
 
 		/**
-		 * Returns a time by the peer's clock.
+		 * Converts a time to the peer's clock.
 		 * @param nanos the time by the clock of this process
-		 * @return a reading that is no later than that time
+		 * @return a time by the peer's clock that is no later, in microseconds
 		 */
-		long at(long nanos) {
-			return this.micros + Math.floorDiv(nanos - this.heardNanos, NANOS_PER_MICRO);
+		long peerMicros(long nanos) {
+			return this.sentMicros + Math.floorDiv(nanos - this.receivedNanos, NANOS_PER_MICRO);
 		}
 
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ListingReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ListingReports.java
@@ -15,85 +15,89 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * Tells peers of the results that this process lists, and knows what they tell.
+ * The section of load reports about the result segments that owners of jobs have listed.
  * <p>
- * Callers read a job that runs several times before there is a result, each time at
- * another entry. Asked of the store, every such read is a call or two; they were a fifth
- * of all calls of a fleet of 43 processes. The owner of the job knows the answer.
+ * Callers poll a running job several times before it has a result, each time through
+ * another entry. Answered from the store, each poll costs one or two calls; these were a
+ * fifth of all store calls of a fleet of 43 processes. The owner of the job knows the
+ * answer.
  * <p>
- * A position that one entry has shown must not be denied by another one later than a
- * second after that. Whoever lists a segment says so in all its reports from before the
- * write on. So an entry that has heard all processes which may list, within less than
- * that second, knows of every segment that could have been shown so long ago. If one of
- * them is silent the entry asks the store. Used on the event loop.
+ * A segment that one entry has shown to a caller must not be missing in the answer of
+ * another entry more than a second later. The process that lists a segment includes it in
+ * all of its reports from before the write on. So an entry that has a report less than a
+ * second old from every process that may list knows of every segment that can have been
+ * shown that long ago. If the report of one of them is older, the entry asks the store.
+ * Used on the event loop.
  */
 public final class ListingReports implements ReportPart, ListingNews {
 
 	/**
-	 * How old the newest report of a process may be. Quiet processes report each half
-	 * second; a report that is lost makes its sender unheard until the next one. Two
-	 * tenths of the second are left for reports on their way.
+	 * The greatest age of each report that an answer may rest on. Processes without
+	 * changes report at least every half second, so that one lost report makes the answer
+	 * unavailable until the next one. 200 ms of the second are left for the transmission
+	 * of reports.
 	 */
-	static final Duration HEARD = Duration.ofMillis(800);
+	static final Duration MAX_REPORT_AGE = Duration.ofMillis(800);
 
 	/**
-	 * Text of job ids in one report, in characters: some hundred jobs, and a datagram of
-	 * a tenth of what one may have.
+	 * Total length of the job ids in one report, in characters: enough for about a
+	 * hundred jobs, at a tenth of the maximum size of a datagram.
 	 */
-	private static final int MOST_CHARS = 4_000;
+	private static final int MAX_JOB_ID_CHARS = 4_000;
 
-	/** Jobs whose segments are remembered, several times those that run at a time. */
-	private static final int REMEMBERED = 20_000;
+	/** Jobs whose segment count is remembered, several times those that run at a time. */
+	private static final int MAX_REMEMBERED_JOBS = 20_000;
 
 	private final FleetView fleet;
 
-	private final BooleanSupplier steady;
+	private final BooleanSupplier stable;
 
 	private Supplier<List<ResultListing>> own = List::of;
 
 	private Runnable listener = () -> {
 	};
 
-	private final Map<String, Integer> mostTold = new LinkedHashMap<>(16, 0.75f, true) {
+	/** The greatest segment count reported for each job, least recently used first. */
+	private final Map<String, Integer> reportedSegments = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
-			return size() > REMEMBERED;
+			return size() > MAX_REMEMBERED_JOBS;
 		}
 
 	};
 
-	ListingReports(FleetView fleet, BooleanSupplier steady) {
+	ListingReports(FleetView fleet, BooleanSupplier stable) {
 		this.fleet = Objects.requireNonNull(fleet, "fleet is null");
-		this.steady = Objects.requireNonNull(steady, "steady is null");
+		this.stable = Objects.requireNonNull(stable, "stable is null");
 	}
 
 	/**
-	 * Adds listings to the reports of a process.
-	 * @param loads its reports
-	 * @param steady whether this process was not paused a moment ago; what came in during
-	 * a pause looks fresh and is not
-	 * @return what is told of listings
+	 * Adds this section to the reports of a process.
+	 * @param loads the exchange that sends and receives the reports
+	 * @param stable returns whether this process was not paused recently; reports that
+	 * arrived during a pause appear newer than they are
+	 * @return the section
 	 */
-	public static ListingReports on(LoadExchange loads, BooleanSupplier steady) {
-		ListingReports reports = new ListingReports(loads.fleet(), steady);
+	public static ListingReports register(LoadExchange loads, BooleanSupplier stable) {
+		ListingReports reports = new ListingReports(loads.fleet(), stable);
 		loads.add(reports);
 		return reports;
 	}
 
 	/**
-	 * Sets what gives the listings of this process.
-	 * @param listings gives them
+	 * Sets the supplier of the listings of the jobs that this process owns.
+	 * @param listings returns the listings
 	 */
 	public void own(Supplier<List<ResultListing>> listings) {
 		this.own = Objects.requireNonNull(listings, "listings is null");
 	}
 
 	/**
-	 * Sets what learns that news has come.
-	 * @param reader runs on the event loop
+	 * Sets the listener for listings of peers.
+	 * @param reader called on the event loop when a report with listings was received
 	 */
-	public void onNews(Runnable reader) {
+	public void onUpdate(Runnable reader) {
 		this.listener = Objects.requireNonNull(reader, "reader is null");
 	}
 
@@ -102,7 +106,7 @@
 		int chars = 0;
 		for (ResultListing listing : this.own.get()) {
 			chars += listing.jobId().length();
-			if (chars > MOST_CHARS) {
+			if (chars > MAX_JOB_ID_CHARS) {
 				return;
 			}
 			report.addListings(JobListing.newBuilder()
@@ -117,21 +121,21 @@
 	public void read(LoadReport report) {
 		if (report.getListingsCount() > 0) {
 			report.getListingsList()
-				.forEach((told) -> this.mostTold.merge(told.getJob(), told.getSegments(), Math::max));
+				.forEach((listing) -> this.reportedSegments.merge(listing.getJob(), listing.getSegments(), Math::max));
 			this.listener.run();
 		}
 	}
 
 	@Override
 	public Optional<ResultListing> sure(String jobId) {
-		if (!this.steady.getAsBoolean()) {
+		if (!this.stable.getAsBoolean()) {
 			return Optional.empty();
 		}
-		return this.fleet.allRunners(HEARD).flatMap((reports) -> sure(jobId, reports));
+		return this.fleet.runnerReports(MAX_REPORT_AGE).flatMap((reports) -> sure(jobId, reports));
 	}
 
 	private Optional<ResultListing> sure(String jobId, List<LoadReport> reports) {
-		int segments = this.mostTold.getOrDefault(jobId, 0);
+		int segments = this.reportedSegments.getOrDefault(jobId, 0);
 		int items = 0;
 		for (ResultListing listing : this.own.get()) {
 			if (listing.jobId().equals(jobId)) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
@@ -29,25 +29,29 @@
 import org.ragworthook.wire.load.UpstreamLoad;
 
 /**
- * Tells the peers what this process has at each upstream and keeps what they tell.
+ * Exchanges load reports with the other processes: the requests that each process has
+ * running at each upstream, and the sections that other parts of the process add.
  * <p>
  * Processes that count only their own requests choose the same upstream at the same
  * moment, and a request waits in one engine while another has a slot free. Reports are
- * datagrams: the newest says everything, and one that is lost is made good by the next.
+ * datagrams. Each contains the complete state of its sender, so a lost one is made up for
+ * by the next.
  */
 public final class LoadExchange implements AutoCloseable {
 
-	/** How often changed counts are sent. */
-	private static final Duration ROUND = Duration.ofMillis(100);
+	/** How often a report is sent while the state of this process changes. */
+	private static final Duration REPORT_INTERVAL = Duration.ofMillis(100);
 
-	/** How old the report of a peer is on average. */
-	public static final Duration MEAN_AGE = Duration.ofMillis(55);
+	/** The mean age of a peer's newest report. */
+	public static final Duration MEAN_REPORT_AGE = Duration.ofMillis(55);
 
-	/** In how much time reports that are sent at once are gathered into one. */
+	/**
+	 * How long to wait after {@link #flush()}, so that one report covers several calls.
+	 */
 	private static final Duration FLUSH_DELAY = Duration.ofMillis(10);
 
-	/** Rounds after which counts are sent though they have not changed. */
-	private static final int QUIET_ROUNDS = 4;
+	/** Report intervals after which an unchanged state is sent again. */
+	private static final int HEARTBEAT_ROUNDS = 4;
 
 	private final EventLoop loop;
 
@@ -63,8 +67,9 @@
 
 	private volatile ReportChannel channel;
 
-	private List<UpstreamLoad> lastSent = List.of();
+	private List<UpstreamLoad> lastLoads = List.of();
 
+	/** Rounds since the last report to all peers. */
 	private int quietRounds;
 
 	private long sequence;
@@ -73,13 +78,13 @@
 
 	private BooleanSupplier wantsSlots = () -> false;
 
-	private boolean lastWanting;
+	private boolean lastWantsSlots;
 
 	private final BacklogReports backlogs = new BacklogReports();
 
 	private final SuspectRequests suspects;
 
-	private final LoadSums sums;
+	private final PeerLoadTotals totals;
 
 	private final FleetView fleet;
 
@@ -94,49 +99,52 @@
 		this.self = Objects.requireNonNull(self, "self is null");
 		this.peers = new PeerTable(ticker);
 		this.fleet = new FleetView(ticker, this.peers, self);
-		this.sums = new LoadSums(registry);
+		this.totals = new PeerLoadTotals(registry);
 	}
 
 	/**
-	 * Begins to take and send reports.
-	 * @param loop the thread
-	 * @param ticker the time
-	 * @param registry the upstreams whose counts are told and kept
-	 * @param suspects the requests whose breaks are told and kept
-	 * @param self how this process shows itself
+	 * Opens the socket and begins to send and receive reports.
+	 * @param loop the event loop
+	 * @param ticker the monotonic clock
+	 * @param registry the upstreams whose loads are reported, and which receive the
+	 * totals of the peers' loads
+	 * @param suspects the requests during which upstreams broke off, which are reported
+	 * and receive the peers' counts
+	 * @param self the identity of this process
 	 * @return the exchange
 	 */
 	public static LoadExchange start(EventLoop loop, Ticker ticker, UpstreamRegistry registry, SuspectRequests suspects,
 			PeerIdentity self) {
 		LoadExchange exchange = new LoadExchange(loop, ticker, registry, suspects, self);
-		exchange.channel = ReportChannel.open(loop, self.address(), exchange::take);
-		loop.scheduleAtFixedRate(exchange::round, ROUND.toMillis(), ROUND.toMillis(), TimeUnit.MILLISECONDS);
+		exchange.channel = ReportChannel.open(loop, self.address(), exchange::receive);
+		loop.scheduleAtFixedRate(exchange::round, REPORT_INTERVAL.toMillis(), REPORT_INTERVAL.toMillis(),
+				TimeUnit.MILLISECONDS);
 		return exchange;
 	}
 
 	/**
-	 * Asks to be told when counts of peers have come.
-	 * @param listener runs on the event loop
+	 * Adds a listener for reports of peers.
+	 * @param listener called on the event loop after the loads of a report were counted
 	 */
 	public void onReport(Runnable listener) {
 		this.listeners.add(Objects.requireNonNull(listener, "listener is null"));
 	}
 
 	/**
-	 * Adds what is told along with the loads.
-	 * @param part writes and reads it on the event loop
+	 * Adds a section to the reports.
+	 * @param part writes and reads the section on the event loop
 	 */
 	public void add(ReportPart part) {
 		this.parts.add(Objects.requireNonNull(part, "part is null"));
 	}
 
 	/**
-	 * Sends one peer a report now, if it is heard.
+	 * Sends a report to one peer at once, if the peer is live.
 	 * @param instance the peer's name
-	 * @param report what it is told beside what all are told
+	 * @param report the content for this peer alone, to which that for all is added
 	 */
 	public void sendTo(String instance, LoadReport.Builder report) {
-		this.peers.heard(instance).ifPresent((peer) -> {
+		this.peers.live(instance).ifPresent((peer) -> {
 			this.sequence++;
 			this.channel.write(report(report, loads()).toByteArray(), peer.address());
 			this.channel.flush();
@@ -144,25 +152,27 @@
 	}
 
 	/**
-	 * Returns which processes there are, as far as this one hears.
-	 * @return the view, which changes as reports come
+	 * Returns the view of all processes of the fleet.
+	 * @return the view, which changes as reports arrive
 	 */
 	public FleetView fleet() {
 		return this.fleet;
 	}
 
 	/**
-	 * Makes a peer known, so that it is sent reports and sends its own.
-	 * @param address where it takes reports
+	 * Adds a peer, to which reports are sent from now on. Does nothing for the address of
+	 * this process.
+	 * @param address where the peer receives reports
 	 */
-	public void introduce(Address address) {
+	public void addPeer(Address address) {
 		if (!address.equals(this.self.address())) {
-			this.loop.execute(() -> this.peers.introduce(new InetSocketAddress(address.host(), address.port())));
+			this.loop.execute(() -> this.peers.addPeer(new InetSocketAddress(address.host(), address.port())));
 		}
 	}
 
 	/**
-	 * Tells the peers that this process will stop, so that others take its jobs.
+	 * Announces to the peers that this process will stop, so that they take over its
+	 * jobs.
 	 */
 	public void leave() {
 		this.loop.execute(() -> {
@@ -172,8 +182,9 @@
 	}
 
 	/**
-	 * Tells the peers now what this process has, since batch is to yield to it. Several
-	 * calls in short succession send one report.
+	 * Sends a report to all peers soon, ahead of the next round, for instance when their
+	 * batch items are to yield to a request of this process. Calls within 10 ms share one
+	 * report.
 	 */
 	public void flush() {
 		if (!this.flushing) {
@@ -186,56 +197,56 @@
 	}
 
 	/**
-	 * Learns that all processes that the platform knows were introduced.
+	 * Called when all processes that the platform lists were added.
 	 */
-	public void introduced() {
-		this.loop.execute(this.peers::introduced);
+	public void allPeersAdded() {
+		this.loop.execute(this.peers::allPeersAdded);
 	}
 
 	/**
-	 * Sets what tells whether items of this process wait for a slot.
-	 * @param condition whether they do
+	 * Sets the condition that items of this process wait for a slot.
+	 * @param condition returns whether items wait
 	 */
 	public void wantsSlots(BooleanSupplier condition) {
 		this.wantsSlots = Objects.requireNonNull(condition, "condition is null");
 	}
 
 	/**
-	 * Sets what tells which items wait, as far as this process knows.
-	 * @param backlog gives tokens by the key of route and account, or empty while not
-	 * known
+	 * Sets the supplier of the backlog of the jobs that this process owns.
+	 * @param backlog returns tokens by the key of route and account, or empty until the
+	 * process has read which jobs there are
 	 */
-	public void backlog(Supplier<Optional<Map<Integer, Long>>> backlog) {
-		this.backlogs.own(backlog);
+	public void ownedBacklog(Supplier<Optional<Map<Integer, Long>>> backlog) {
+		this.backlogs.owned(backlog);
 	}
 
 	/**
-	 * Sets what tells which jobs this process has accepted a moment ago.
-	 * @param accepted gives tokens by the key of route and account
+	 * Sets the supplier of the backlog of the jobs that this process has just accepted.
+	 * @param backlog returns tokens by the key of route and account
 	 */
-	public void accepted(Supplier<Map<Integer, Long>> accepted) {
-		this.backlogs.accepted(accepted);
+	public void acceptedBacklog(Supplier<Map<Integer, Long>> backlog) {
+		this.backlogs.accepted(backlog);
 	}
 
 	/**
-	 * Returns what the peers, and the jobs of this process, tell of the items of an
-	 * account that wait on a route.
+	 * Returns the total of the peers' backlogs and that of the jobs of this process for
+	 * one account on one route.
 	 * @param key the key of route and account
-	 * @return tokens and whether they are all
+	 * @return the waiting tokens
 	 */
-	public WaitingTokens waiting(int key) {
-		return this.backlogs.sum(this.peers.lately(), key);
+	public WaitingTokens waitingTokens(int key) {
+		return this.backlogs.sum(this.peers.backlogReports(), key);
 	}
 
 	private void round() {
 		List<UpstreamLoad> now = loads();
-		boolean same = now.equals(this.lastSent) && this.lastWanting == this.wantsSlots.getAsBoolean()
-				&& !this.backlogs.changed() && this.parts.stream().noneMatch(ReportPart::hasChanges);
-		if (same && ++this.quietRounds < QUIET_ROUNDS) {
+		boolean unchanged = now.equals(this.lastLoads) && this.lastWantsSlots == this.wantsSlots.getAsBoolean()
+				&& !this.backlogs.hasChanges() && this.parts.stream().noneMatch(ReportPart::hasChanges);
+		if (unchanged && ++this.quietRounds < HEARTBEAT_ROUNDS) {
 			return;
 		}
 		send(now);
-		sum();
+		updateTotals();
 	}
 
 	private List<UpstreamLoad> loads() {
@@ -255,8 +266,8 @@
 	}
 
 	private void send(List<UpstreamLoad> loads) {
-		this.lastSent = loads;
-		this.lastWanting = this.wantsSlots.getAsBoolean();
+		this.lastLoads = loads;
+		this.lastWantsSlots = this.wantsSlots.getAsBoolean();
 		this.quietRounds = 0;
 		this.sequence++;
 		byte[] bytes = report(LoadReport.newBuilder(), loads).toByteArray();
@@ -269,11 +280,11 @@
 		this.suspects.own()
 			.forEach((fingerprint, breaks) -> report
 				.addSuspects(SuspectRequest.newBuilder().setFingerprint(fingerprint).setBreaks(breaks)));
-		this.peers.fresh()
+		this.peers.liveReports()
 			.stream()
-			.filter((heard) -> heard.getRunsJobs() && !heard.getLeaving())
-			.forEach((heard) -> report.addHeardRunners(
-					HeardRunner.newBuilder().setInstance(heard.getInstance()).setStoreLost(heard.getStoreLost())));
+			.filter((live) -> live.getRunsJobs() && !live.getLeaving())
+			.forEach((live) -> report.addHeardRunners(
+					HeardRunner.newBuilder().setInstance(live.getInstance()).setStoreLost(live.getStoreLost())));
 		this.backlogs.write(report);
 		return report.setInstance(this.self.instance())
 			.setStartedMillis(this.self.startedMillis())
@@ -289,27 +300,27 @@
 	}
 
 	/**
-	 * Adds up anew what changes without a report: peers that have fallen silent,
-	 * upstreams that are new, turns among other processes.
+	 * Computes the totals anew, for what changes without a report: peers that are no
+	 * longer live, new upstreams, and the slot claim order among the other processes.
 	 */
-	private void sum() {
+	private void updateTotals() {
 		this.peers.logChanges();
-		Set<InetSocketAddress> heard = new HashSet<>();
+		Set<InetSocketAddress> live = new HashSet<>();
 		for (Peer peer : this.peers.all()) {
-			this.peers.fresh(peer).ifPresent((present) -> {
-				heard.add(peer.address());
-				this.sums.replace(peer.address(), loads(present));
+			this.peers.liveReport(peer).ifPresent((report) -> {
+				live.add(peer.address());
+				this.totals.replace(peer.address(), loads(report));
 			});
 		}
-		this.sums.keep(heard);
-		sumBreaks();
+		this.totals.retain(live);
+		updateSuspects();
 	}
 
-	private void sumBreaks() {
+	private void updateSuspects() {
 		Map<Long, Integer> breaks = new HashMap<>();
 		for (Peer peer : this.peers.all()) {
-			peer.newest()
-				.ifPresent((last) -> last.getSuspectsList()
+			peer.newestReport()
+				.ifPresent((report) -> report.getSuspectsList()
 					.forEach((suspect) -> breaks.merge(suspect.getFingerprint(), suspect.getBreaks(), Integer::sum)));
 		}
 		this.suspects.peers(breaks);
@@ -323,20 +334,21 @@
 	}
 
 	private PeerLoad load(String peer, UpstreamLoad load) {
-		boolean givesFirst = load.getBatch() > 0 && this.fleet.lastTurns().givesFirst(peer, load.getUpstream());
+		boolean givesFirst = load.getBatch() > 0
+				&& this.fleet.lastSlotClaimOrder().givesFirst(peer, load.getUpstream());
 		return new PeerLoad(load.getOnline(), load.getBatch(), givesFirst ? load.getBatch() : 0);
 	}
 
-	private void take(LoadReport report) {
-		this.peers.take(report).ifPresent((peer) -> counted(peer, report));
+	private void receive(LoadReport report) {
+		this.peers.accept(report).ifPresent((peer) -> accepted(peer, report));
 		this.parts.forEach((part) -> part.read(report));
 	}
 
-	private void counted(Peer peer, LoadReport report) {
+	private void accepted(Peer peer, LoadReport report) {
 		this.fleet.changed();
-		this.sums.replace(peer.address(), loads(report));
+		this.totals.replace(peer.address(), loads(report));
 		if (report.getSuspectsCount() > 0) {
-			sumBreaks();
+			updateSuspects();
 		}
 		this.listeners.forEach(Runnable::run);
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/Peer.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/Peer.java
@@ -7,7 +7,7 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * Another process, as its reports show it.
+ * Another process of the fleet and its newest report.
  */
 final class Peer {
 
@@ -15,7 +15,7 @@
 
 	private LoadReport report;
 
-	private long heardNanos;
+	private long receivedNanos;
 
 	Peer(InetSocketAddress address) {
 		this.address = Objects.requireNonNull(address, "address is null");
@@ -26,39 +26,41 @@
 	}
 
 	/**
-	 * Takes a report unless a newer one was taken. Datagrams may overtake each other.
-	 * @param newer the report
+	 * Accepts a report unless a newer one was accepted before, since datagrams may arrive
+	 * out of order.
+	 * @param received the report
 	 * @param nowNanos the ticker's reading
-	 * @return whether it was taken
+	 * @return whether the report was accepted
 	 */
-	boolean take(LoadReport newer, long nowNanos) {
+	boolean accept(LoadReport received, long nowNanos) {
 		if (this.report != null) {
-			boolean sameRun = newer.getStartedMillis() == this.report.getStartedMillis();
-			if (newer.getStartedMillis() < this.report.getStartedMillis()
-					|| (sameRun && newer.getSequence() <= this.report.getSequence())) {
+			boolean sameRun = received.getStartedMillis() == this.report.getStartedMillis();
+			if (received.getStartedMillis() < this.report.getStartedMillis()
+					|| (sameRun && received.getSequence() <= this.report.getSequence())) {
 				return false;
 			}
 		}
-		this.report = newer;
-		this.heardNanos = nowNanos;
+		this.report = received;
+		this.receivedNanos = nowNanos;
 		return true;
 	}
 
 	/**
 	 * Returns the newest report, however old.
-	 * @return the report, or empty if there is none
+	 * @return the report, or empty if none was accepted yet
 	 */
-	Optional<LoadReport> newest() {
+	Optional<LoadReport> newestReport() {
 		return Optional.ofNullable(this.report);
 	}
 
 	/**
-	 * Returns the newest report.
+	 * Returns the newest report if it was received recently.
 	 * @param sinceNanos the ticker's reading before which a report is too old
-	 * @return the report, or empty if there is none that is new enough
+	 * @return the report, or empty if none was received since then
 	 */
-	Optional<LoadReport> report(long sinceNanos) {
-		return (this.report != null && this.heardNanos - sinceNanos >= 0) ? Optional.of(this.report) : Optional.empty();
+	Optional<LoadReport> reportSince(long sinceNanos) {
+		return (this.report != null && this.receivedNanos - sinceNanos >= 0) ? Optional.of(this.report)
+				: Optional.empty();
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerDirectory.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerDirectory.java
@@ -16,21 +16,21 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Makes the processes known to each other through the platform's store. Each writes its
- * address once when it starts and reads the others'; a process that came later is known
- * by the report that it sends.
+ * Discovers the peers through the platform's store. Each process writes its address once
+ * when it starts and then lists the addresses of the others. A process that starts later
+ * becomes known by the reports that it sends.
  */
 public final class PeerDirectory {
 
 	private static final EventLog LOG = EventLog.of(PeerDirectory.class);
 
-	private static final Duration AGAIN = Duration.ofMillis(500);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
 	private final RecordStore store;
 
 	private final ConditionalWriter writer;
 
-	private final AddressLister listing;
+	private final AddressLister lister;
 
 	private final LoadExchange exchange;
 
@@ -38,29 +38,30 @@
 
 	private final Timers timers;
 
-	private PeerDirectory(RecordStore store, ConditionalWriter writer, AddressLister listing, LoadExchange exchange,
+	private PeerDirectory(RecordStore store, ConditionalWriter writer, AddressLister lister, LoadExchange exchange,
 			PeerIdentity self, Timers timers) {
 		this.store = store;
 		this.writer = writer;
-		this.listing = listing;
+		this.lister = lister;
 		this.exchange = exchange;
 		this.self = self;
 		this.timers = timers;
 	}
 
 	/**
-	 * Makes this process known and looks for the others, until both have succeeded.
+	 * Registers the address of this process and adds its peers to an exchange, retrying
+	 * until both have succeeded.
 	 * @param store the platform's store
-	 * @param writer writes to it
-	 * @param listing lists the addresses that are written
-	 * @param exchange is told of the others
-	 * @param self this process
-	 * @param timers runs tasks later
+	 * @param writer writes to the store
+	 * @param lister lists the registered addresses
+	 * @param exchange the exchange to which the peers are added
+	 * @param self the identity of this process
+	 * @param timers schedules the retries
 	 */
-	public static void join(RecordStore store, ConditionalWriter writer, AddressLister listing, LoadExchange exchange,
+	public static void join(RecordStore store, ConditionalWriter writer, AddressLister lister, LoadExchange exchange,
 			PeerIdentity self, Timers timers) {
 		new PeerDirectory(Objects.requireNonNull(store, "store is null"),
-				Objects.requireNonNull(writer, "writer is null"), Objects.requireNonNull(listing, "listing is null"),
+				Objects.requireNonNull(writer, "writer is null"), Objects.requireNonNull(lister, "lister is null"),
 				Objects.requireNonNull(exchange, "exchange is null"), Objects.requireNonNull(self, "self is null"),
 				Objects.requireNonNull(timers, "timers is null"))
 			.register();
@@ -76,10 +77,10 @@
 			.whenComplete((done, failure) -> {
 				if (failure != null) {
 					LOG.warning("peer_not_registered", "error", Failures.root(failure));
-					this.timers.schedule(AGAIN, this::register);
+					this.timers.schedule(RETRY_DELAY, this::register);
 				}
 				else {
-					look();
+					listPeers();
 				}
 			});
 	}
@@ -93,28 +94,28 @@
 		});
 	}
 
-	private void look() {
-		this.listing.addresses().whenComplete((addresses, failure) -> {
+	private void listPeers() {
+		this.lister.addresses().whenComplete((addresses, failure) -> {
 			if (failure != null) {
 				LOG.warning("peers_not_listed", "error", Failures.root(failure));
-				this.timers.schedule(AGAIN, this::look);
+				this.timers.schedule(RETRY_DELAY, this::listPeers);
 				return;
 			}
 			LOG.info("peers_listed", "peers", addresses.size());
-			addresses.forEach(this.exchange::introduce);
-			this.exchange.introduced();
+			addresses.forEach(this.exchange::addPeer);
+			this.exchange.allPeersAdded();
 		});
 	}
 
 	/**
-	 * Lists the addresses of all processes.
+	 * Lists the registered addresses of all processes.
 	 */
 	@FunctionalInterface
 	public interface AddressLister {
 
 		/**
-		 * Lists.
-		 * @return the addresses that processes have written
+		 * Reads the registered addresses.
+		 * @return the addresses, that of this process included
 		 */
 		CompletableFuture<List<Address>> addresses();
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerIdentity.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerIdentity.java
@@ -5,17 +5,17 @@
 import org.ragworthook.core.fleet.Address;
 
 /**
- * How a process shows itself to its peers.
+ * What a process reports of itself to its peers.
  *
- * @param instance its name
- * @param startedMillis when this run of it began, Unix time
- * @param address where it takes reports
- * @param runsJobs whether it runs items of batch jobs
+ * @param instance the name of the process
+ * @param startedMillis when this run of the process began, Unix time
+ * @param address where the process receives reports
+ * @param runsJobs whether the process runs items of batch jobs
  */
 public record PeerIdentity(String instance, long startedMillis, Address address, boolean runsJobs) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public PeerIdentity {
 		Objects.requireNonNull(instance, "instance is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadSums.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerLoadTotals.java
@@ -13,26 +13,27 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * What the peers have at each upstream, added up. A report changes what its sender has at
- * some upstreams; adding up all peers anew for each would take time that grows with the
- * square of the fleet, since the reports grow with it as well.
+ * The total load of all peers at each upstream, updated incrementally: a report changes
+ * the loads of its sender at some upstreams. Recomputing the totals over all peers for
+ * each report would take time that grows with the square of the fleet, since the reports
+ * grow with it as well.
  */
-final class LoadSums {
+final class PeerLoadTotals {
 
 	private final UpstreamRegistry registry;
 
 	private final Map<InetSocketAddress, Map<Integer, PeerLoad>> byPeer = new HashMap<>();
 
-	private final Map<Integer, PeerLoad> sums = new HashMap<>();
+	private final Map<Integer, PeerLoad> totals = new HashMap<>();
 
-	LoadSums(UpstreamRegistry registry) {
+	PeerLoadTotals(UpstreamRegistry registry) {
 		this.registry = Objects.requireNonNull(registry, "registry is null");
 	}
 
 	/**
-	 * Takes what one peer has now, in place of what it had.
-	 * @param peer where the peer takes reports
-	 * @param loads what it has at upstreams, by their keys
+	 * Replaces the loads of one peer and passes the changed totals to their upstreams.
+	 * @param peer where the peer receives reports
+	 * @param loads the peer's loads by the keys of the upstreams
 	 */
 	void replace(InetSocketAddress peer, Map<Integer, PeerLoad> loads) {
 		Map<Integer, PeerLoad> before = this.byPeer.getOrDefault(peer, Map.of());
@@ -40,28 +41,29 @@
 		Set<Integer> changed = new HashSet<>(before.keySet());
 		changed.addAll(loads.keySet());
 		for (int key : changed) {
-			PeerLoad sum = this.sums.getOrDefault(key, PeerLoad.NONE)
+			PeerLoad total = this.totals.getOrDefault(key, PeerLoad.NONE)
 				.minus(before.getOrDefault(key, PeerLoad.NONE))
 				.plus(loads.getOrDefault(key, PeerLoad.NONE));
-			this.sums.put(key, sum);
-			this.registry.byKey(key).ifPresent((upstream) -> upstream.peers(sum));
+			this.totals.put(key, total);
+			this.registry.byKey(key).ifPresent((upstream) -> upstream.peers(total));
 		}
 	}
 
 	/**
-	 * Forgets all peers but some, and tells upstreams that are new what is there.
-	 * @param heard where the peers that are heard take reports
+	 * Removes the loads of all other peers and passes the totals to all upstreams, also
+	 * to those that were registered after the last report.
+	 * @param live where the peers that are live receive reports
 	 */
-	void keep(Set<InetSocketAddress> heard) {
+	void retain(Set<InetSocketAddress> live) {
 		for (InetSocketAddress peer : List.copyOf(this.byPeer.keySet())) {
-			if (!heard.contains(peer)) {
+			if (!live.contains(peer)) {
 				replace(peer, Map.of());
 				this.byPeer.remove(peer);
 			}
 		}
-		this.sums.values().removeIf(PeerLoad.NONE::equals);
+		this.totals.values().removeIf(PeerLoad.NONE::equals);
 		for (TrackedUpstream upstream : this.registry.all()) {
-			upstream.peers(this.sums.getOrDefault(upstream.key(), PeerLoad.NONE));
+			upstream.peers(this.totals.getOrDefault(upstream.key(), PeerLoad.NONE));
 		}
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerTable.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerTable.java
@@ -15,24 +15,25 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * The other processes, and whether they are heard.
+ * The known peers and their newest reports. A peer is live while its newest report is
+ * recent.
  */
 final class PeerTable {
 
 	private static final EventLog LOG = EventLog.of(PeerTable.class);
 
-	/** Silence after which a peer's counts no longer hold: several quiet reports lost. */
-	private static final Duration SILENCE = Duration.ofMillis(1_500);
+	/** Age from which a report no longer counts: several unchanged reports were lost. */
+	private static final Duration LIVENESS_TIMEOUT = Duration.ofMillis(1_500);
 
 	/** Twice the time until the next owner of a silent peer's jobs has read them. */
-	private static final Duration LATELY = Duration.ofMillis(5_000);
+	private static final Duration BACKLOG_TIMEOUT = Duration.ofMillis(5_000);
 
 	/**
-	 * How long after its start a process waits to hear its peers. When all start at once,
-	 * entries come 0.6 s after the others, on a third of the processor, and report within
-	 * 0.4 s.
+	 * How long a process waits after its start for the reports of its peers. When all
+	 * processes start at once, entries start 0.6 s after the others, on a third of a
+	 * processor, and report within 0.4 s.
 	 */
-	private static final Duration SETTLE = Duration.ofMillis(1_500);
+	private static final Duration SETTLE_TIMEOUT = Duration.ofMillis(1_500);
 
 	private final Ticker ticker;
 
@@ -40,10 +41,10 @@
 
 	private final Map<InetSocketAddress, Peer> peers = new HashMap<>();
 
-	/** Whether each peer was heard in the last round, so that changes are logged once. */
-	private final Map<InetSocketAddress, Boolean> heardBefore = new HashMap<>();
+	/** Whether each peer was live in the last round, so that changes are logged once. */
+	private final Map<InetSocketAddress, Boolean> wasLive = new HashMap<>();
 
-	private boolean allIntroduced;
+	private boolean allPeersAdded;
 
 	private boolean settled;
 
@@ -52,37 +53,37 @@
 		this.startedNanos = ticker.nanos();
 	}
 
-	void introduce(InetSocketAddress address) {
+	void addPeer(InetSocketAddress address) {
 		this.peers.computeIfAbsent(address, Peer::new);
 	}
 
 	/**
-	 * Learns that all processes that the platform knows were introduced.
+	 * Called when all processes that the platform lists were added.
 	 */
-	void introduced() {
-		this.allIntroduced = true;
+	void allPeersAdded() {
+		this.allPeersAdded = true;
 	}
 
 	/**
-	 * Takes a report.
+	 * Accepts a report unless a newer one of its sender was accepted before.
 	 * @param report the report
-	 * @return its sender, or empty if a newer one was taken before
+	 * @return the sender, or empty if the report was not accepted
 	 */
-	Optional<Peer> take(LoadReport report) {
+	Optional<Peer> accept(LoadReport report) {
 		InetSocketAddress from = new InetSocketAddress(report.getHost(), report.getPort());
 		Peer peer = this.peers.computeIfAbsent(from, Peer::new);
-		return peer.take(report, this.ticker.nanos()) ? Optional.of(peer) : Optional.empty();
+		return peer.accept(report, this.ticker.nanos()) ? Optional.of(peer) : Optional.empty();
 	}
 
 	/**
-	 * Returns a peer that is heard.
-	 * @param instance its name
-	 * @return the peer, or empty if none of that name is heard
+	 * Returns the live peer of a name.
+	 * @param instance the peer's name
+	 * @return the peer, or empty if no live peer has that name
 	 */
-	Optional<Peer> heard(String instance) {
+	Optional<Peer> live(String instance) {
 		return this.peers.values()
 			.stream()
-			.filter((peer) -> fresh(peer).filter((report) -> report.getInstance().equals(instance)).isPresent())
+			.filter((peer) -> liveReport(peer).filter((report) -> report.getInstance().equals(instance)).isPresent())
 			.findFirst();
 	}
 
@@ -91,97 +92,99 @@
 	}
 
 	/**
-	 * Returns what the peers that are heard have told.
-	 * @return the newest report of each
+	 * Returns the newest reports of the live peers.
+	 * @return one report of each peer
 	 */
-	List<LoadReport> fresh() {
-		return this.peers.values().stream().flatMap((peer) -> fresh(peer).stream()).toList();
+	List<LoadReport> liveReports() {
+		return this.peers.values().stream().flatMap((peer) -> liveReport(peer).stream()).toList();
 	}
 
 	/**
-	 * Returns how many peers take callers' requests as far as is known, silent ones
-	 * included. One that was never heard may be such a peer.
-	 * @return the count without those that run jobs or have said that they leave
+	 * Returns the number of peers, live or not, that may serve callers' requests. A peer
+	 * that has never reported may serve them.
+	 * @return the number of peers, without those that run jobs or have announced that
+	 * they leave
 	 */
-	int entries() {
+	int knownEntries() {
 		return (int) this.peers.values()
 			.stream()
-			.filter((peer) -> peer.newest().filter((last) -> last.getRunsJobs() || last.getLeaving()).isEmpty())
+			.filter((peer) -> peer.newestReport().filter((last) -> last.getRunsJobs() || last.getLeaving()).isEmpty())
 			.count();
 	}
 
 	/**
-	 * Returns what the peers have told that were heard lately, silent ones included. The
-	 * jobs of one that has fallen silent are counted here until their next owner counts
+	 * Returns the newest reports for counting the backlog, also of peers that are no
+	 * longer live. The jobs of such a peer are counted here until their next owner counts
 	 * them.
-	 * @return the newest report of each
+	 * @return one report of each peer
 	 */
-	List<LoadReport> lately() {
-		long since = this.ticker.nanos() - LATELY.toNanos();
-		return this.peers.values().stream().flatMap((peer) -> peer.report(since).stream()).toList();
+	List<LoadReport> backlogReports() {
+		long since = this.ticker.nanos() - BACKLOG_TIMEOUT.toNanos();
+		return this.peers.values().stream().flatMap((peer) -> peer.reportSince(since).stream()).toList();
 	}
 
 	/**
-	 * Returns what all peers that may run jobs tell.
-	 * @param age how old the newest report of each may be
-	 * @return the reports, or empty if one of the peers was not heard in that time
+	 * Returns the newest reports of all peers that may run jobs.
+	 * @param maxAge the greatest allowed age of each report
+	 * @return the reports, or empty if the newest report of one of the peers is older
 	 */
-	Optional<List<LoadReport>> allRunners(Duration age) {
-		long since = this.ticker.nanos() - age.toNanos();
+	Optional<List<LoadReport>> runnerReports(Duration maxAge) {
+		long since = this.ticker.nanos() - maxAge.toNanos();
 		List<LoadReport> reports = new ArrayList<>();
 		for (Peer peer : this.peers.values()) {
-			Optional<LoadReport> newest = peer.newest();
+			Optional<LoadReport> newest = peer.newestReport();
 			boolean entry = newest.isPresent() && !newest.get().getRunsJobs();
 			boolean left = newest.isPresent() && newest.get().getLeaving();
 			if (entry || left) {
 				continue;
 			}
-			Optional<LoadReport> heard = peer.report(since);
-			if (heard.isEmpty()) {
+			Optional<LoadReport> recent = peer.reportSince(since);
+			if (recent.isEmpty()) {
 				return Optional.empty();
 			}
-			reports.add(heard.get());
+			reports.add(recent.get());
 		}
 		return Optional.of(reports);
 	}
 
 	/**
-	 * Returns what a peer has told, if it is heard.
+	 * Returns the newest report of a peer if the peer is live.
 	 * @param peer the peer
-	 * @return its newest report, or empty if it is silent
+	 * @return the report, or empty if the peer is not live
 	 */
-	Optional<LoadReport> fresh(Peer peer) {
-		return peer.report(this.ticker.nanos() - SILENCE.toNanos());
+	Optional<LoadReport> liveReport(Peer peer) {
+		return peer.reportSince(this.ticker.nanos() - LIVENESS_TIMEOUT.toNanos());
 	}
 
 	/**
-	 * Logs which peers are heard again or have fallen silent since the last look.
+	 * Logs which peers have become live, or are live no longer, since the last call.
 	 */
 	void logChanges() {
 		for (Peer peer : this.peers.values()) {
-			boolean heard = fresh(peer).isPresent();
-			Boolean before = this.heardBefore.put(peer.address(), heard);
-			if (before != null && before != heard) {
-				LOG.info(heard ? "peer_heard" : "peer_silent", "peer", peer.address());
+			boolean live = liveReport(peer).isPresent();
+			Boolean before = this.wasLive.put(peer.address(), live);
+			if (before != null && before != live) {
+				LOG.info(live ? "peer_heard" : "peer_silent", "peer", peer.address());
 			}
 		}
 	}
 
 	/**
-	 * Tells whether this process knows what its peers do. One that has just started hears
-	 * nobody yet. It would take itself for the only one that runs jobs, read all of them
-	 * and fill every slot: when three processes started at once they began 177 items in
-	 * 104 slots, and callers' requests of the next seconds waited behind these.
-	 * @return whether all peers were heard, or have had the time to be
+	 * Returns whether this process knows the state of its peers well enough to take jobs.
+	 * A process that has just started has received no report. It would take itself for
+	 * the only one that runs jobs, read all of them and fill every slot: when three
+	 * processes started at once, they began 177 items in 104 slots, and callers' requests
+	 * waited behind these for the next seconds.
+	 * @return whether all peers have reported, or have had the time to
 	 */
 	boolean settled() {
 		if (!this.settled) {
 			long age = this.ticker.nanos() - this.startedNanos;
-			boolean heard = this.allIntroduced
-					&& this.peers.values().stream().allMatch((peer) -> peer.newest().isPresent());
-			this.settled = heard || age >= SETTLE.toNanos();
+			boolean allReported = this.allPeersAdded
+					&& this.peers.values().stream().allMatch((peer) -> peer.newestReport().isPresent());
+			this.settled = allReported || age >= SETTLE_TIMEOUT.toNanos();
 			if (this.settled) {
-				LOG.info("peers_settled", "all_heard", heard, "peers", this.peers.size(), "ms", age / 1_000_000);
+				LOG.info("peers_settled", "all_heard", allReported, "peers", this.peers.size(), "ms", age / 1_000_000);
 			}
 		}
 		return this.settled;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/QuotaReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/QuotaReports.java
@@ -7,12 +7,12 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * Tells the peers how much of the accounts' quotas this process has used, and takes what
- * they tell. Used on the event loop.
+ * The section of load reports about how much of the accounts' quotas each process has
+ * used. Used on the event loop.
  */
 public final class QuotaReports implements ReportPart {
 
-	/** Accounts in one report at most; of more, the next report tells. */
+	/** Accounts in one report at most; the others wait until fewer were used recently. */
 	private static final int MAX_ACCOUNTS = 200;
 
 	private final QuotaLedger ledger;
@@ -22,11 +22,11 @@
 	}
 
 	/**
-	 * Adds the usage of quotas to the reports of a process.
-	 * @param loads its reports
-	 * @param ledger the usage
+	 * Adds this section to the reports of a process.
+	 * @param loads the exchange that sends and receives the reports
+	 * @param ledger the usage by this process, which receives that by its peers
 	 */
-	public static void on(LoadExchange loads, QuotaLedger ledger) {
+	public static void register(LoadExchange loads, QuotaLedger ledger) {
 		loads.add(new QuotaReports(ledger));
 		ledger.onUse(loads::flush);
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/RendezvousOwners.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/RendezvousOwners.java
@@ -8,38 +8,38 @@
 import org.ragworthook.gateway.upstream.RendezvousScore;
 
 /**
- * Gives each job to one of the processes that run jobs, by rendezvous hashing: when one
- * comes or goes, only its own jobs move.
+ * Assigns each job to one of the processes that run jobs by rendezvous hashing, so that a
+ * process that joins or leaves moves no jobs but its own.
  */
 public final class RendezvousOwners implements JobOwners {
 
 	private final String self;
 
-	private final Supplier<List<String>> runners;
+	private final Supplier<List<String>> candidates;
 
-	private RendezvousOwners(String self, Supplier<List<String>> runners) {
+	private RendezvousOwners(String self, Supplier<List<String>> candidates) {
 		this.self = Objects.requireNonNull(self, "self is null");
-		this.runners = Objects.requireNonNull(runners, "runners is null");
+		this.candidates = Objects.requireNonNull(candidates, "candidates is null");
 	}
 
 	/**
-	 * Returns the owners.
+	 * Returns the assignment among some processes.
 	 * @param self the name of this process
-	 * @param runners the names of the processes that run jobs
-	 * @return the owners
+	 * @param candidates returns the names of the processes that may own jobs
+	 * @return the assignment
 	 */
-	public static RendezvousOwners of(String self, Supplier<List<String>> runners) {
-		return new RendezvousOwners(self, runners);
+	public static RendezvousOwners of(String self, Supplier<List<String>> candidates) {
+		return new RendezvousOwners(self, candidates);
 	}
 
 	@Override
 	public boolean own(String jobId) {
-		return RendezvousScore.first(this.runners.get(), jobId.hashCode()).filter(this.self::equals).isPresent();
+		return RendezvousScore.first(this.candidates.get(), jobId.hashCode()).filter(this.self::equals).isPresent();
 	}
 
 	@Override
 	public int count() {
-		return this.runners.get().size();
+		return this.candidates.get().size();
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportChannel.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportChannel.java
@@ -19,32 +19,32 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * Sends and takes reports as datagrams.
+ * Sends and receives reports as UDP datagrams.
  */
 final class ReportChannel implements AutoCloseable {
 
 	private static final EventLog LOG = EventLog.of(ReportChannel.class);
 
-	private final Consumer<LoadReport> taken;
+	private final Consumer<LoadReport> receiver;
 
 	private volatile Channel channel;
 
-	private ReportChannel(Consumer<LoadReport> taken) {
-		this.taken = Objects.requireNonNull(taken, "taken is null");
+	private ReportChannel(Consumer<LoadReport> receiver) {
+		this.receiver = Objects.requireNonNull(receiver, "receiver is null");
 	}
 
 	/**
-	 * Begins to take reports.
-	 * @param loop the thread
-	 * @param address where
-	 * @param taken is given each report, on the event loop
+	 * Binds the socket and begins to receive reports.
+	 * @param loop the event loop
+	 * @param address the address to bind
+	 * @param receiver called with each report, on the event loop
 	 * @return the channel
 	 */
-	static ReportChannel open(EventLoop loop, Address address, Consumer<LoadReport> taken) {
-		ReportChannel reports = new ReportChannel(taken);
+	static ReportChannel open(EventLoop loop, Address address, Consumer<LoadReport> receiver) {
+		ReportChannel reports = new ReportChannel(receiver);
 		reports.channel = new Bootstrap().group(loop)
 			.channel(NioDatagramChannel.class)
-			.handler(reports.new Receiver())
+			.handler(reports.new DatagramHandler())
 			.bind(new InetSocketAddress(address.host(), address.port()))
 			.syncUninterruptibly()
 			.channel();
@@ -52,16 +52,16 @@
 	}
 
 	/**
-	 * Writes a report, to be sent by {@link #flush()}.
-	 * @param report the report's bytes, not changed afterwards
-	 * @param to where the peer takes reports
+	 * Queues a report, to be sent by {@link #flush()}.
+	 * @param report the report's bytes, which must not be changed afterwards
+	 * @param to where the peer receives reports
 	 */
 	void write(byte[] report, InetSocketAddress to) {
 		this.channel.write(new DatagramPacket(Unpooled.wrappedBuffer(report), to), this.channel.voidPromise());
 	}
 
 	/**
-	 * Sends what was written.
+	 * Sends the queued reports.
 	 */
 	void flush() {
 		this.channel.flush();
@@ -72,12 +72,12 @@
 		this.channel.close();
 	}
 
-	private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
+	private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
 			try {
-				ReportChannel.this.taken.accept(LoadReport.parseFrom(ByteBufUtil.getBytes(packet.content())));
+				ReportChannel.this.receiver.accept(LoadReport.parseFrom(ByteBufUtil.getBytes(packet.content())));
 			}
 			catch (InvalidProtocolBufferException ex) {
 				LOG.warning("report_malformed", "from", packet.sender(), "error", ex.getMessage());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportPart.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportPart.java
@@ -3,26 +3,29 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * What a part of the process tells its peers along with the loads.
+ * A section of load reports that a part of the process writes and reads. Its methods are
+ * called on the event loop.
  */
 public interface ReportPart {
 
 	/**
-	 * Tells whether the next round is to send a report though the loads are as before.
-	 * @return whether there is news
+	 * Returns whether the next round has to send a report although the loads are
+	 * unchanged.
+	 * @return whether this section has changes to send
 	 */
 	default boolean hasChanges() {
 		return false;
 	}
 
 	/**
-	 * Adds to a report that is about to be sent.
+	 * Writes this section to a report that is about to be sent.
 	 * @param report the report
 	 */
 	void write(LoadReport.Builder report);
 
 	/**
-	 * Takes what a peer tells; the loads of the report are known by then.
+	 * Reads this section from a received report, after its loads were counted. Called for
+	 * each report, also for one that arrives out of order, whose loads are not counted.
 	 * @param report the report
 	 */
 	void read(LoadReport report);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/WaitingTokens.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/WaitingTokens.java
@@ -1,12 +1,12 @@
 package org.ragworthook.gateway.peer;
 
 /**
- * What all processes together know of the items that wait on a route.
+ * The batch work of an account that waits on a route, summed over all processes.
  *
- * @param complete whether every process that runs jobs is heard and has read which jobs
- * there are; otherwise there may be more
- * @param tokens tokens of items that no upstream has finished, with those of jobs that
- * entries have accepted a moment ago
+ * @param complete whether every process that runs jobs is live and has read which jobs
+ * there are; otherwise more tokens may wait
+ * @param tokens the tokens of items that no upstream has finished, including those of
+ * jobs that entries have just accepted
  */
 public record WaitingTokens(boolean complete, long tokens) {
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -217,7 +217,7 @@
 	 */
 	private Duration gathering() {
 		return GatheringRule.within(this.settings.bounds().drainDeadline())
-			.pause(this.peers.fleet().peerView().known() + 1);
+			.pause(this.peers.fleet().peerCounts().known() + 1);
 	}
 
 	private <T> FeedFollower<T> follow(Feed<T> feed, FeedListener<T> listener, Supplier<Duration> gathering) {
@@ -229,13 +229,14 @@
 
 	private void serveCallers(Placement placement, ConnectionPool connections) {
 		OnlineContext context = new OnlineContext(this.configuration, this.upstreams, placement,
-				UnreportedPlacements.of(this.ticker, LoadExchange.MEAN_AGE, this.peers.fleet()::otherEntries),
+				UnreportedPlacements.of(this.ticker, LoadExchange.MEAN_REPORT_AGE,
+						this.peers.fleet()::liveOtherEntries),
 				connections, this.platform.headers(), this.platform.promptFormat(), this.ticker, this.timers,
 				ThreadLocalRandom.current(), this.suspects, this.metrics, this.peers.slots(),
 				this.peers.dispatch()::loadChanged, this.peers.loads()::flush);
 		CallerAccess access = access();
 		JobReader reader = JobReader.of(this.jobs, this.peers.listings(), this.timers);
-		this.peers.listings().onNews(reader::newsCame);
+		this.peers.listings().onUpdate(reader::newsCame);
 		Frontend front = OnlinePart.of(this.vertx, context, access, this.jobs, reader, this.platform.jobFormat(),
 				this.loop, this.health::up,
 				new JobBacklog(this.peers.loads(), this.peers.changedJobs(), this.platform::jobs));
@@ -252,14 +253,14 @@
 	private boolean shedsConnections() {
 		boolean keysLost = this.accessControl.lost();
 		return (keysLost || !this.health.up())
-				&& IsolationRule.shedsConnections(this.health.lostFor(), keysLost, this.peers.fleet().peerView());
+				&& IsolationRule.shedsConnections(this.health.lostFor(), keysLost, this.peers.fleet().peerCounts());
 	}
 
 	private CallerAccess access() {
 		QuotaLedger quotas = QuotaLedger.of(this.ticker, this.startedMillis, this::accounts,
-				this.peers.fleet()::entriesHeard, this.peers.fleet()::entries, ThreadLocalRandom.current());
-		QuotaReports.on(this.peers.loads(), quotas);
-		this.lease.ifPresent((held) -> LeaseReports.on(this.peers.loads(), held, this.self, this.ticker,
+				this.peers.fleet()::liveEntryFraction, this.peers.fleet()::knownEntries, ThreadLocalRandom.current());
+		QuotaReports.register(this.peers.loads(), quotas);
+		this.lease.ifPresent((held) -> LeaseReports.register(this.peers.loads(), held, this.self, this.ticker,
 				() -> this.configuration.present().map(Configuration::version).orElse(0L)));
 		return new CallerAccess(this.accessControl, quotas, this.platform.headers(), this.metrics);
 	}
@@ -277,24 +278,24 @@
 	private boolean ready() {
 		return !this.leaving && this.configuration.present().isPresent() && this.upstreamFeed.listed()
 				&& !this.accessControl.lost()
-				&& !IsolationRule.isolated(this.health.lostFor(), this.peers.fleet().peerView());
+				&& !IsolationRule.isolated(this.health.lostFor(), this.peers.fleet().peerCounts());
 	}
 
 	private void runJobs(Placement placement, ConnectionPool connections) {
 		ProgressStore progress = ProgressStore.of(this.platform.store(), this.writer, this.platform.progress(),
 				this.settings.instance());
-		JobOwners owners = RendezvousOwners.of(this.settings.instance(), this.peers.fleet()::jobRunners);
+		JobOwners owners = RendezvousOwners.of(this.settings.instance(), this.peers.fleet()::ownerCandidates);
 		JobRunner jobRunner = JobRunner.of(new JobRunner.Parts(this.jobs, progress, owners, this.peers.fleet()::settled,
-				this.peers.fleet()::turns, this.configuration, this.upstreams, placement, connections,
+				this.peers.fleet()::slotClaimOrder, this.configuration, this.upstreams, placement, connections,
 				this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
 				ThreadLocalRandom.current()::nextDouble, this.loop, this.metrics, this.settings.queueTimeout(),
-				this.peers.pauses()::pauses, this.peers.fleet()::runnerRuns, this.peers.loads()::flush));
+				this.peers.pauses()::pauses, this.peers.fleet()::runnerStates, this.peers.loads()::flush));
 		this.runner = Optional.of(jobRunner);
 		this.peers.dispatch()
 			.dispatcher(Dispatcher.of(this.upstreams, this.ticker, ThreadLocalRandom.current(), firstGrant(),
 					this.peers.dispatch()));
 		this.peers.loads().wantsSlots(jobRunner::wanting);
-		this.peers.loads().backlog(jobRunner::backlog);
+		this.peers.loads().ownedBacklog(jobRunner::backlog);
 		this.peers.listings().own(jobRunner::listings);
 		this.peers.loads().onReport(jobRunner::giveWay);
 		followJobs(jobRunner, owners);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/IsolationRule.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/IsolationRule.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-import org.ragworthook.gateway.peer.PeerView;
+import org.ragworthook.gateway.peer.PeerCounts;
 
 /**
  * Decides whether an entry is cut off, so that callers are to go elsewhere.
@@ -28,11 +28,11 @@
 	 * @param peers what is heard of the other processes
 	 * @return whether this process is cut off
 	 */
-	static boolean isolated(Duration storeLost, PeerView peers) {
+	static boolean isolated(Duration storeLost, PeerCounts peers) {
 		if (storeLost.isZero()) {
 			return false;
 		}
-		boolean alone = peers.known() > 0 && peers.heard() == 0;
+		boolean alone = peers.known() > 0 && peers.live() == 0;
 		return alone || (storeLost.compareTo(STORE_LOST) >= 0 && peers.reachingStore() > 0);
 	}
 
@@ -44,7 +44,7 @@
 	 * @param peers what is heard of the other processes
 	 * @return whether another entry is likely to serve them
 	 */
-	static boolean shedsConnections(Duration storeLost, boolean keysLost, PeerView peers) {
+	static boolean shedsConnections(Duration storeLost, boolean keysLost, PeerCounts peers) {
 		return isolated(storeLost, peers) || (keysLost && peers.reachingStore() > 0);
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/JobBacklog.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/JobBacklog.java
@@ -9,7 +9,7 @@
 import org.ragworthook.gateway.feed.Feed;
 import org.ragworthook.gateway.job.Job;
 import org.ragworthook.gateway.online.Backlog;
-import org.ragworthook.gateway.peer.ChangedJobs;
+import org.ragworthook.gateway.peer.JobChangeReports;
 import org.ragworthook.gateway.peer.LoadExchange;
 import org.ragworthook.gateway.peer.WaitingTokens;
 import org.ragworthook.gateway.route.Route;
@@ -22,11 +22,11 @@
 
 	private final LoadExchange loads;
 
-	private final ChangedJobs changes;
+	private final JobChangeReports changes;
 
 	private final Supplier<Feed<Job>> jobs;
 
-	JobBacklog(LoadExchange loads, ChangedJobs changes, Supplier<Feed<Job>> jobs) {
+	JobBacklog(LoadExchange loads, JobChangeReports changes, Supplier<Feed<Job>> jobs) {
 		this.loads = Objects.requireNonNull(loads, "loads is null");
 		this.changes = Objects.requireNonNull(changes, "changes is null");
 		this.jobs = Objects.requireNonNull(jobs, "jobs is null");
@@ -34,7 +34,7 @@
 
 	@Override
 	public WaitingTokens reported(Route route, Optional<String> account) {
-		return this.loads.waiting(route.backlogKey(account));
+		return this.loads.waitingTokens(route.backlogKey(account));
 	}
 
 	@Override
@@ -51,7 +51,7 @@
 
 	@Override
 	public void show(Supplier<Map<Integer, Long>> accepted) {
-		this.loads.accepted(accepted);
+		this.loads.acceptedBacklog(accepted);
 	}
 
 	@Override
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerLinks.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerLinks.java
@@ -7,8 +7,8 @@
 import org.ragworthook.core.time.Timers;
 import org.ragworthook.gateway.dispatch.DispatchClient;
 import org.ragworthook.gateway.dispatch.DispatchReports;
-import org.ragworthook.gateway.peer.ChangedJobs;
 import org.ragworthook.gateway.peer.FleetView;
+import org.ragworthook.gateway.peer.JobChangeReports;
 import org.ragworthook.gateway.peer.ListingReports;
 import org.ragworthook.gateway.peer.LoadExchange;
 import org.ragworthook.gateway.peer.PeerIdentity;
@@ -26,7 +26,7 @@
  * @param pauses tells whether what was heard can be trusted
  */
 record PeerLinks(LoadExchange loads, DispatchReports dispatch, DispatchClient slots, ListingReports listings,
-		ChangedJobs changedJobs, PauseWatch pauses) implements AutoCloseable {
+		JobChangeReports changedJobs, PauseWatch pauses) implements AutoCloseable {
 
 	PeerLinks {
 		Objects.requireNonNull(loads, "loads is null");
@@ -55,8 +55,8 @@
 		DispatchClient slots = DispatchClient.of(ticker, timers, dispatch);
 		dispatch.client(slots);
 		PauseWatch pauses = PauseWatch.start(ticker, timers);
-		return new PeerLinks(loads, dispatch, slots, ListingReports.on(loads, pauses::steady),
-				ChangedJobs.on(loads, ticker), pauses);
+		return new PeerLinks(loads, dispatch, slots, ListingReports.register(loads, pauses::steady),
+				JobChangeReports.register(loads, ticker), pauses);
 	}
 
 	/**
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchReportsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchReportsTests.java
@@ -78,9 +78,9 @@
 		asking.client(client);
 		DispatchReports answering = DispatchReports.on(dispatching, this.loop, this.time, "dispatching", "a");
 		answering.dispatcher(Dispatcher.of(theirs, this.time, new Random(1), 0, answering));
-		dispatching.introduce(this.entryAddress);
-		entry.introduce(this.dispatcherAddress);
-		dispatching.introduced();
+		dispatching.addPeer(this.entryAddress);
+		entry.addPeer(this.dispatcherAddress);
+		dispatching.allPeersAdded();
 		Loopback.await(() -> asking.dispatcher(SERVICE, (name) -> true).isPresent() && dispatching.fleet().settled());
 		TrackedUpstream here = mine.byKey(TrackedUpstream.key("u1")).orElseThrow();
 		Sender first = new Sender(here);
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ChangedJobsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/JobChangeReportsTests.java
@@ -12,15 +12,15 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What entries tell of jobs that they have accepted or ended.
+ * The reports of entries about jobs that they have accepted or ended.
  */
-class ChangedJobsTests {
+class JobChangeReportsTests {
 
 	private final ManualTime time = ManualTime.of();
 
-	private final AtomicInteger urged = new AtomicInteger();
+	private final AtomicInteger flushes = new AtomicInteger();
 
-	private final ChangedJobs entry = new ChangedJobs(this.time, this.urged::incrementAndGet);
+	private final JobChangeReports entry = new JobChangeReports(this.time, this.flushes::incrementAndGet);
 
 	private LoadReport report() {
 		LoadReport.Builder report = LoadReport.newBuilder().setInstance("entry");
@@ -29,17 +29,18 @@
 	}
 
 	/**
-	 * A report is lost. The next ones tell of the job as well, and its owner acts once on
-	 * all of them; that the job is ended soon after is a change of its own.
+	 * Guards against a change that is missed because one report is lost, and against an
+	 * owner that reads the store once for each repetition. That the job ends soon after
+	 * it was accepted is a second change.
 	 */
 	@Test
-	void shouldTellOfEachChangeSeveralTimes() {
-		ChangedJobs owner = new ChangedJobs(this.time, () -> {
+	void shouldReportEachChangeSeveralTimes() {
+		JobChangeReports owner = new JobChangeReports(this.time, () -> {
 		});
-		List<String> seen = new ArrayList<>();
-		owner.onChange(seen::add);
+		List<String> changes = new ArrayList<>();
+		owner.onChange(changes::add);
 		this.entry.changed("job", false);
-		assertThat(this.urged.get()).isEqualTo(1);
+		assertThat(this.flushes.get()).isEqualTo(1);
 		for (int round = 0; round < 3; round++) {
 			assertThat(this.entry.hasChanges()).isTrue();
 			owner.read(report());
@@ -47,13 +48,13 @@
 		}
 		this.entry.changed("job", true);
 		owner.read(report());
-		assertThat(seen).containsExactly("job", "job");
+		assertThat(changes).containsExactly("job", "job");
 	}
 
 	@Test
-	void shouldNotTellForLong() {
+	void shouldStopReportingAfterTheRepeatPeriod() {
 		this.entry.changed("job", false);
-		this.time.advance(ChangedJobs.TOLD.plusMillis(1));
+		this.time.advance(JobChangeReports.REPEAT_PERIOD.plusMillis(1));
 		assertThat(this.entry.hasChanges()).isFalse();
 		assertThat(report().getChangedJobsList()).isEmpty();
 	}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LeaseReportsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LeaseReportsTests.java
@@ -24,7 +24,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Checks of the configuration by one process that confirm that of its peers.
+ * Checks of the configuration by one process that renew the leases of its peers.
  */
 class LeaseReportsTests {
 
@@ -45,69 +45,78 @@
 	}
 
 	@Test
-	void shouldConfirmAPeer() {
-		Entry one = new Entry("one", 4_900);
+	void shouldRenewTheLeaseOfAPeer() {
+		Entry checker = new Entry("one", 4_900);
 		Entry other = new Entry("other", -91_000);
-		one.hear(other.report());
+		checker.receive(other.report());
 		this.time.advance(Duration.ofMillis(10));
-		one.use();
+		checker.use();
 		this.time.advance(Duration.ofMillis(40));
-		other.hear(one.report());
+		other.receive(checker.report());
 		assertThat(other.lease.age()).isEqualTo(Optional.of(Duration.ofMillis(40)));
 		assertThat(other.checks).isEqualTo(0);
 	}
 
-	/** Guards against a report that waited while its receiver was paused. */
+	/**
+	 * Guards against a check that is taken for newer than it is because one of the two
+	 * reports was delayed, for instance while its receiver was paused.
+	 */
 	@ParameterizedTest
 	@CsvSource({ "0, 0", "3000, 0", "0, 3000", "2000, 2000" })
-	void shouldNotCountTheWayOfReports(long thereMillis, long backMillis) {
-		Entry one = new Entry("one", 0);
+	void shouldNotExtendTheLeaseByTransmissionDelays(long thereMillis, long backMillis) {
+		Entry checker = new Entry("one", 0);
 		Entry other = new Entry("other", 63_000);
-		LoadReport hello = other.report();
+		LoadReport clockReading = other.report();
 		this.time.advance(Duration.ofMillis(thereMillis));
-		one.hear(hello);
-		one.use();
-		LoadReport told = one.report();
+		checker.receive(clockReading);
+		checker.use();
+		LoadReport confirmation = checker.report();
 		this.time.advance(Duration.ofMillis(backMillis));
-		other.hear(told);
+		other.receive(confirmation);
 		assertThat(other.lease.age()).isEqualTo(Optional.of(Duration.ofMillis(thereMillis + backMillis)));
 	}
 
-	/** Guards against a peer that missed the revocation and is told that all is well. */
+	/**
+	 * Guards against a peer that has not received a revocation and renews its lease by a
+	 * check of the newer configuration.
+	 */
 	@Test
 	void shouldNotConfirmAnOlderConfiguration() {
-		Entry one = new Entry("one", 0);
+		Entry checker = new Entry("one", 0);
 		Entry other = new Entry("other", 0);
-		one.hear(other.report());
-		one.version = 8;
-		one.use();
-		other.hear(one.report());
+		checker.receive(other.report());
+		checker.version = 8;
+		checker.use();
+		other.receive(checker.report());
 		assertThat(other.lease.age()).isEqualTo(Optional.empty());
 		other.version = 8;
-		other.hear(one.report());
+		other.receive(checker.report());
 		assertThat(other.lease.age()).isNotEqualTo(Optional.empty());
 	}
 
-	/** Guards against the clock of an earlier run, which may have been ahead. */
+	/**
+	 * Guards against a time by the clock of a peer's earlier run, which may have been
+	 * ahead of the clock of the present one.
+	 */
 	@Test
-	void shouldNotConfirmAnotherRun() {
-		Entry one = new Entry("one", 0);
-		one.hear(new Entry("other", 490_000).report());
-		one.use();
+	void shouldNotConfirmALaterRun() {
+		Entry checker = new Entry("one", 0);
+		checker.receive(new Entry("other", 490_000).report());
+		checker.use();
 		this.time.advance(Duration.ofMillis(1));
 		Entry restarted = new Entry("other", 0);
-		restarted.hear(one.report());
+		restarted.receive(checker.report());
 		assertThat(restarted.lease.age()).isEqualTo(Optional.empty());
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 6, 24, 100 })
-	void shouldCheckSeldomHoweverManyProcessesThereAre(int processes) {
+	void shouldCheckSeldomInFleetsOfAnySize(int processes) {
 		List<Entry> entries = new ArrayList<>();
 		for (int i = 0; i < processes; i++) {
 			entries.add(new Entry("e" + i, i * 1_000L));
 		}
-		play(entries, 60, (from, to) -> false);
+		simulate(entries, 60, (from, to) -> false);
 		int checks = entries.stream().mapToInt((entry) -> entry.checks).sum();
 		int refused = entries.stream().mapToInt((entry) -> entry.refused).sum();
 		assertThat(refused).isEqualTo(0);
@@ -115,33 +124,34 @@
 	}
 
 	/**
-	 * Guards against a revoked key that processes go on accepting by each other's word,
-	 * some of them cut off from the platform, from peers or from both, and paused.
+	 * Guards against processes that keep renewing each other's leases and accept a
+	 * revoked key after the bound, while some of them are paused or cut off from the
+	 * platform, from peers, or from both.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12 })
-	void shouldHoldTheBoundWhateverIsCut(long seed) {
+	void shouldKeepTheRevocationBoundDuringPartitions(long seed) {
 		this.random.setSeed(seed);
 		this.revokedAt = Duration.ofSeconds(8);
 		List<Entry> entries = new ArrayList<>();
 		for (int i = 0; i < 8; i++) {
 			entries.add(new Entry("e" + i, this.random.nextInt(1_000_000) - 500_000));
 		}
-		boolean[][] cut = new boolean[8][8];
-		for (boolean[] row : cut) {
+		boolean[][] partitioned = new boolean[8][8];
+		for (boolean[] row : partitioned) {
 			for (int i = 0; i < row.length; i++) {
 				row[i] = this.random.nextInt(3) == 0;
 			}
 		}
-		entries.forEach((entry) -> entry.cutFromMillis = this.random.nextBoolean() ? 7_000 : Long.MAX_VALUE);
-		play(entries, 30, (from, to) -> now().toMillis() > 6_000 && cut[from][to]);
+		entries.forEach((entry) -> entry.cutOffMillis = this.random.nextBoolean() ? 7_000 : Long.MAX_VALUE);
+		simulate(entries, 30, (from, to) -> now().toMillis() > 6_000 && partitioned[from][to]);
 		for (Entry entry : entries) {
 			assertWithMessage("%s, seed %s", entry.name, seed).that(entry.lastAcceptedMillis)
 				.isAtMost(this.revokedAt.plus(BOUND).toMillis());
 		}
 	}
 
-	private void play(List<Entry> entries, int seconds, Cut cut) {
+	private void simulate(List<Entry> entries, int seconds, Partition partition) {
 		PriorityQueue<Delivery> deliveries = new PriorityQueue<>(Comparator.comparingLong(Delivery::atMillis));
 		for (long at = 0; at < seconds * 1_000L; at += 10) {
 			this.time.advance(Duration.ofMillis(10));
@@ -160,7 +170,7 @@
 					entry.flush = false;
 					byte[] report = entry.report().toByteArray();
 					for (int to = 0; to < entries.size(); to++) {
-						if (to != i && !cut.between(i, to) && this.random.nextInt(50) != 0) {
+						if (to != i && !partition.between(i, to) && this.random.nextInt(50) != 0) {
 							deliveries.add(new Delivery(now().toMillis() + this.random.nextInt(30), to, report));
 						}
 					}
@@ -173,13 +183,13 @@
 					deliveries.add(new Delivery(to.pausedUntilMillis, next.to, next.report));
 				}
 				else {
-					to.hear(parsed(next.report));
+					to.receive(parse(next.report));
 				}
 			}
 		}
 	}
 
-	private static LoadReport parsed(byte[] report) {
+	private static LoadReport parse(byte[] report) {
 		try {
 			return LoadReport.parseFrom(report);
 		}
@@ -188,7 +198,7 @@
 		}
 	}
 
-	private interface Cut {
+	private interface Partition {
 
 		boolean between(int from, int to);
 
@@ -198,7 +208,7 @@
 	}
 
 	/**
-	 * A process with a clock of its own.
+	 * A simulated process with its own monotonic clock.
 	 */
 	private final class Entry {
 
@@ -220,7 +230,7 @@
 
 		private boolean flush;
 
-		private long cutFromMillis = Long.MAX_VALUE;
+		private long cutOffMillis = Long.MAX_VALUE;
 
 		private long pausedUntilMillis;
 
@@ -238,7 +248,7 @@
 
 		private CompletableFuture<Boolean> check() {
 			this.checks++;
-			if (now().toMillis() >= this.cutFromMillis) {
+			if (now().toMillis() >= this.cutOffMillis) {
 				return CompletableFuture.failedFuture(new IllegalStateException("cut off"));
 			}
 			this.version = Math.max(this.version, revoked() ? 8 : 7);
@@ -264,7 +274,7 @@
 			return report.build();
 		}
 
-		void hear(LoadReport report) {
+		void receive(LoadReport report) {
 			this.reports.read(report);
 		}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
@@ -26,7 +26,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What processes tell each other of the load of upstreams and of themselves.
+ * The exchange of load reports between processes, over sockets of the loopback interface.
  */
 class LoadExchangeTests {
 
@@ -54,13 +54,13 @@
 	}
 
 	@Test
-	void shouldCountWhatPeersHaveAtUpstreams() throws InterruptedException {
+	void shouldCountTheLoadsOfPeers() throws InterruptedException {
 		Address first = Loopback.unusedAddress();
 		Address second = Loopback.unusedAddress();
 		UpstreamRegistry mine = registry();
 		UpstreamRegistry other = registry();
 		exchange("a", first, mine, false);
-		exchange("b", second, other, false).introduce(first);
+		exchange("b", second, other, false).addPeer(first);
 		TrackedUpstream theirs = other.serving("svc").get(0);
 		theirs.begin(WorkClass.ONLINE);
 		theirs.begin(WorkClass.BATCH);
@@ -72,36 +72,36 @@
 	}
 
 	/**
-	 * Every entry takes jobs, and all of them keep one limit. An entry learns of a job
-	 * from the one that accepted it until its owner counts it, and knows that it does not
-	 * know all as long as an owner has not read which jobs there are.
+	 * All entries accept jobs under one common limit. A job is counted by the report of
+	 * the entry that accepted it until its owner counts it. The total is incomplete as
+	 * long as one owner has not read which jobs there are.
 	 */
 	@Test
-	void shouldTellWhichItemsWait() throws InterruptedException {
+	void shouldSumTheBacklogOfAllProcesses() throws InterruptedException {
 		Address first = Loopback.unusedAddress();
 		AtomicReference<Optional<Map<Integer, Long>>> owned = new AtomicReference<>(Optional.empty());
 		LoadExchange entry = exchange("entry", first, registry(), false);
 		LoadExchange otherEntry = exchange("other", Loopback.unusedAddress(), registry(), false);
 		LoadExchange owner = exchange("owner", Loopback.unusedAddress(), registry(), true);
-		owner.backlog(owned::get);
-		otherEntry.accepted(() -> Map.of(7, 40L));
-		assertThat(entry.waiting(7)).isEqualTo(new WaitingTokens(false, 0));
-		otherEntry.introduce(first);
-		owner.introduce(first);
-		Loopback.await(() -> entry.waiting(7).equals(new WaitingTokens(false, 40)));
+		owner.ownedBacklog(owned::get);
+		otherEntry.acceptedBacklog(() -> Map.of(7, 40L));
+		assertThat(entry.waitingTokens(7)).isEqualTo(new WaitingTokens(false, 0));
+		otherEntry.addPeer(first);
+		owner.addPeer(first);
+		Loopback.await(() -> entry.waitingTokens(7).equals(new WaitingTokens(false, 40)));
 		owned.set(Optional.of(Map.of(7, 60L, 8, 1L)));
-		Loopback.await(() -> entry.waiting(7).equals(new WaitingTokens(true, 100)));
-		assertThat(entry.waiting(8).tokens()).isEqualTo(1);
-		assertThat(owner.waiting(8)).isEqualTo(new WaitingTokens(true, 1));
+		Loopback.await(() -> entry.waitingTokens(7).equals(new WaitingTokens(true, 100)));
+		assertThat(entry.waitingTokens(8).tokens()).isEqualTo(1);
+		assertThat(owner.waitingTokens(8)).isEqualTo(new WaitingTokens(true, 1));
 	}
 
 	/**
-	 * A process that runs jobs is cut off from the store alone. Its peers hear it, and
-	 * were it to keep its jobs, nobody would list their results. Others take them, unless
-	 * the store is lost to all.
+	 * Guards against jobs whose results nobody lists: a process that runs jobs is cut off
+	 * from the store alone, and still live to its peers. Other processes take over its
+	 * jobs, unless all of them have lost the store.
 	 */
 	@Test
-	void shouldLeaveOutWhoLostTheStoreUnlessAllHave() throws InterruptedException {
+	void shouldLeaveOutRunnersThatLostTheStoreUnlessAllHave() throws InterruptedException {
 		Address first = Loopback.unusedAddress();
 		Address second = Loopback.unusedAddress();
 		AtomicBoolean firstLost = new AtomicBoolean();
@@ -110,62 +110,63 @@
 		LoadExchange b = exchange("b", second, registry(), true);
 		a.fleet().storeLost(firstLost::get);
 		b.fleet().storeLost(secondLost::get);
-		b.introduce(first);
-		Loopback.await(() -> a.fleet().jobRunners().size() == 2);
+		b.addPeer(first);
+		Loopback.await(() -> a.fleet().ownerCandidates().size() == 2);
 		secondLost.set(true);
-		Loopback.await(() -> a.fleet().jobRunners().equals(List.of("a")));
+		Loopback.await(() -> a.fleet().ownerCandidates().equals(List.of("a")));
 		firstLost.set(true);
-		Loopback.await(() -> a.fleet().jobRunners().size() == 2);
+		Loopback.await(() -> a.fleet().ownerCandidates().size() == 2);
 	}
 
 	/**
-	 * A process says that it leaves, and later falls silent. Its jobs are taken at once,
-	 * not only after the silence.
+	 * Guards against jobs of a stopping process that are taken over only when its reports
+	 * cease, not when it announces that it leaves.
 	 */
 	@Test
-	void shouldLeaveOutWhoLeaves() throws InterruptedException {
+	void shouldLeaveOutARunnerThatLeaves() throws InterruptedException {
 		Address first = Loopback.unusedAddress();
 		LoadExchange a = exchange("a", first, registry(), true);
 		LoadExchange b = exchange("b", Loopback.unusedAddress(), registry(), true);
-		b.introduce(first);
-		Loopback.await(() -> a.fleet().jobRunners().size() == 2);
+		b.addPeer(first);
+		Loopback.await(() -> a.fleet().ownerCandidates().size() == 2);
 		b.leave();
-		Loopback.await(() -> a.fleet().jobRunners().equals(List.of("a")));
+		Loopback.await(() -> a.fleet().ownerCandidates().equals(List.of("a")));
 	}
 
 	/**
-	 * A process has just started and hears nobody yet. It must not take all jobs for its
-	 * own before its peers have had the time to show themselves.
+	 * Guards against a process that takes all jobs when it has just started, because it
+	 * has not received the reports of its peers yet.
 	 */
 	@Test
-	void shouldNotBeSettledBeforeItsPeersAreHeard() throws InterruptedException {
+	void shouldNotBeSettledBeforeItsPeersHaveReported() throws InterruptedException {
 		ManualTime time = ManualTime.of();
 		Address first = Loopback.unusedAddress();
 		Address second = Loopback.unusedAddress();
-		LoadExchange late = this.closer.add(LoadExchange.start(this.loop, time, registry(), SuspectRequests.none(time),
-				new PeerIdentity("a", 1, first, true)));
-		assertThat(late.fleet().settled()).isFalse();
-		late.introduce(second);
-		late.introduced();
-		exchange("b", second, registry(), true).introduce(first);
-		Loopback.await(late.fleet()::settled);
-		assertThat(late.fleet().jobRunners()).containsExactly("a", "b");
+		LoadExchange starting = this.closer.add(LoadExchange.start(this.loop, time, registry(),
+				SuspectRequests.none(time), new PeerIdentity("a", 1, first, true)));
+		assertThat(starting.fleet().settled()).isFalse();
+		starting.addPeer(second);
+		starting.allPeersAdded();
+		exchange("b", second, registry(), true).addPeer(first);
+		Loopback.await(starting.fleet()::settled);
+		assertThat(starting.fleet().ownerCandidates()).containsExactly("a", "b");
 	}
 
 	/**
-	 * A peer that the platform still lists is gone for good, and will never be heard.
+	 * Guards against a process that never takes jobs because the platform still lists a
+	 * peer that is gone for good.
 	 */
 	@Test
-	void shouldBeSettledAfterAWhileThoughAPeerIsSilent() {
+	void shouldBeSettledAfterTheTimeoutIfAPeerNeverReports() {
 		ManualTime time = ManualTime.of();
-		LoadExchange late = this.closer.add(LoadExchange.start(this.loop, time, registry(), SuspectRequests.none(time),
-				new PeerIdentity("a", 1, Loopback.unusedAddress(), true)));
-		late.introduce(Loopback.unusedAddress());
-		late.introduced();
+		LoadExchange starting = this.closer.add(LoadExchange.start(this.loop, time, registry(),
+				SuspectRequests.none(time), new PeerIdentity("a", 1, Loopback.unusedAddress(), true)));
+		starting.addPeer(Loopback.unusedAddress());
+		starting.allPeersAdded();
 		time.advance(Duration.ofMillis(1_400));
-		assertThat(late.fleet().settled()).isFalse();
+		assertThat(starting.fleet().settled()).isFalse();
 		time.advance(Duration.ofMillis(200));
-		assertThat(late.fleet().settled()).isTrue();
+		assertThat(starting.fleet().settled()).isTrue();
 	}
 
 }
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/Loopback.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/Loopback.java
@@ -11,17 +11,17 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What tests need that speak over sockets of this machine.
+ * Utilities for tests that use sockets on the loopback interface.
  */
 public final class Loopback {
 
-	private static final long LIMIT_SECONDS = 30;
+	private static final long TIMEOUT_SECONDS = 30;
 
 	private Loopback() {
 	}
 
 	/**
-	 * Returns an address for datagrams that nobody has at the moment.
+	 * Returns a loopback address with a UDP port that is not in use.
 	 * @return the address
 	 */
 	public static Address unusedAddress() {
@@ -34,14 +34,14 @@
 	}
 
 	/**
-	 * Waits until something holds; fails if it does not for half a minute.
-	 * @param condition what is to hold
-	 * @throws InterruptedException if the test is stopped
+	 * Waits until a condition holds and fails if it does not within 30 seconds.
+	 * @param condition the condition
+	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public static void await(BooleanSupplier condition) throws InterruptedException {
-		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
+		long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
 		while (!condition.getAsBoolean()) {
-			assertThat(System.nanoTime() - end).isLessThan(0L);
+			assertThat(System.nanoTime() - deadline).isLessThan(0L);
 			new CountDownLatch(1).await(5, TimeUnit.MILLISECONDS);
 		}
 	}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadSumsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/PeerLoadTotalsTests.java
@@ -13,7 +13,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class LoadSumsTests {
+class PeerLoadTotalsTests {
 
 	private static final InetSocketAddress FIRST = new InetSocketAddress("10.0.0.1", 1);
 
@@ -23,7 +23,7 @@
 
 	private final UpstreamRegistry registry = UpstreamRegistry.empty();
 
-	private final LoadSums sums = new LoadSums(this.registry);
+	private final PeerLoadTotals totals = new PeerLoadTotals(this.registry);
 
 	private TrackedUpstream upstream() {
 		this.registry.put(new UpstreamEntry("u1", "svc", new Address("10.0.0.9", 80), "a", 8, false));
@@ -31,40 +31,41 @@
 	}
 
 	@Test
-	void shouldReplaceWhatAPeerHad() {
+	void shouldReplaceTheLoadsOfAPeer() {
 		TrackedUpstream upstream = upstream();
-		this.sums.replace(FIRST, Map.of(KEY, new PeerLoad(2, 1, 1)));
-		this.sums.replace(SECOND, Map.of(KEY, new PeerLoad(3, 0, 0)));
-		this.sums.replace(FIRST, Map.of(KEY, new PeerLoad(1, 0, 0)));
+		this.totals.replace(FIRST, Map.of(KEY, new PeerLoad(2, 1, 1)));
+		this.totals.replace(SECOND, Map.of(KEY, new PeerLoad(3, 0, 0)));
+		this.totals.replace(FIRST, Map.of(KEY, new PeerLoad(1, 0, 0)));
 		assertThat(upstream.onlineLoad()).isEqualTo(4);
 		assertThat(upstream.batchLoad()).isEqualTo(0);
-		this.sums.replace(SECOND, Map.of());
+		this.totals.replace(SECOND, Map.of());
 		assertThat(upstream.onlineLoad()).isEqualTo(1);
 	}
 
 	/**
-	 * A peer is killed and says nothing of it. Its requests would count for ever, and its
-	 * share of each engine stand empty.
+	 * Guards against loads of a killed peer, which announces nothing, that count for ever
+	 * and leave its share of each engine unused.
 	 */
 	@Test
-	void shouldForgetPeersThatAreSilent() {
+	void shouldRemoveTheLoadsOfPeersThatAreNotLive() {
 		TrackedUpstream upstream = upstream();
-		this.sums.replace(FIRST, Map.of(KEY, new PeerLoad(2, 0, 0)));
-		this.sums.replace(SECOND, Map.of(KEY, new PeerLoad(3, 0, 0)));
-		this.sums.keep(Set.of(SECOND));
+		this.totals.replace(FIRST, Map.of(KEY, new PeerLoad(2, 0, 0)));
+		this.totals.replace(SECOND, Map.of(KEY, new PeerLoad(3, 0, 0)));
+		this.totals.retain(Set.of(SECOND));
 		assertThat(upstream.onlineLoad()).isEqualTo(3);
-		this.sums.replace(FIRST, Map.of(KEY, new PeerLoad(1, 0, 0)));
+		this.totals.replace(FIRST, Map.of(KEY, new PeerLoad(1, 0, 0)));
 		assertThat(upstream.onlineLoad()).isEqualTo(4);
 	}
 
 	/**
-	 * Peers know a new upstream before this process does, and send requests there.
+	 * Guards against loads that are lost because peers have sent requests to a new
+	 * upstream before this process registers it.
 	 */
 	@Test
-	void shouldTellANewUpstreamWhatPeersHaveThere() {
-		this.sums.replace(FIRST, Map.of(KEY, new PeerLoad(2, 0, 0)));
+	void shouldPassTheTotalToANewUpstream() {
+		this.totals.replace(FIRST, Map.of(KEY, new PeerLoad(2, 0, 0)));
 		TrackedUpstream upstream = upstream();
-		this.sums.keep(Set.of(FIRST));
+		this.totals.retain(Set.of(FIRST));
 		assertThat(upstream.onlineLoad()).isEqualTo(2);
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/RendezvousOwnersTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/RendezvousOwnersTests.java
@@ -8,7 +8,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Who runs a job.
+ * The assignment of jobs to the processes that run them.
  */
 class RendezvousOwnersTests {
 
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void shouldGiveEachJobToOneProcessAndSpreadThem() {
+	void shouldAssignEachJobToOneProcessAndSpreadThem() {
 		List<String> runners = List.of("storage-a-1", "storage-b-1", "storage-c-1");
 		int[] counts = new int[3];
 		for (int i = 0; i < JOBS; i++) {
@@ -39,11 +39,11 @@
 	}
 
 	/**
-	 * A process is lost. Only its own jobs go to others; had all of them moved, each run
-	 * in progress would be cut.
+	 * Guards against the loss of a process that moves the jobs of the other processes as
+	 * well, which would abort all their runs in progress.
 	 */
 	@Test
-	void shouldMoveOnlyTheJobsOfAProcessThatIsLost() {
+	void shouldMoveOnlyTheJobsOfALostProcess() {
 		List<String> before = List.of("storage-a-1", "storage-b-1", "storage-c-1");
 		List<String> after = before.subList(0, 2);
 		for (int i = 0; i < JOBS; i++) {
@@ -55,7 +55,7 @@
 	}
 
 	@Test
-	void shouldOwnNothingWhileNobodyRunsJobs() {
+	void shouldOwnNoJobWithoutCandidates() {
 		assertThat(RendezvousOwners.of("a", List::of).own("job")).isFalse();
 	}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/process/IsolationRuleTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/process/IsolationRuleTests.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ragworthook.gateway.peer.PeerView;
+import org.ragworthook.gateway.peer.PeerCounts;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -28,7 +28,7 @@
 	@CsvSource({ "0, 8, 8, 8, false", "0, 8, 0, 0, false", "1, 8, 0, 0, true", "1499, 8, 8, 8, false",
 			"1500, 8, 8, 8, true", "1500, 8, 8, 1, true", "9000, 8, 8, 0, false", "9000, 0, 0, 0, false" })
 	void shouldLeaveCallersToOthersWhoServeThem(long lostMillis, int known, int heard, int reaching, boolean isolated) {
-		assertThat(IsolationRule.isolated(Duration.ofMillis(lostMillis), new PeerView(known, heard, reaching)))
+		assertThat(IsolationRule.isolated(Duration.ofMillis(lostMillis), new PeerCounts(known, heard, reaching)))
 			.isEqualTo(isolated);
 	}
 
@@ -42,7 +42,7 @@
 	void shouldShedConnectionsWhereOthersServe(long storeLostMillis, boolean keysLost, int known, int heard,
 			int reaching, boolean expected) {
 		boolean sheds = IsolationRule.shedsConnections(Duration.ofMillis(storeLostMillis), keysLost,
-				new PeerView(known, heard, reaching));
+				new PeerCounts(known, heard, reaching));
 		assertThat(sheds).isEqualTo(expected);
 	}
 
