--- a/modules/core/src/main/java/org/ragworthook/core/admission/AccountGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/AccountGate.java
@@ -8,12 +8,12 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Holds one account to its limits at one entry: requests a second, requests in flight and
- * tokens a second. Any number of threads may use it; none waits.
+ * Enforces the limits of one account at one entry: requests per second, requests in
+ * flight and tokens per second. Thread-safe; no call blocks.
  */
 public final class AccountGate {
 
-	private static final Duration IN_FLIGHT_WAIT = Duration.ofSeconds(1);
+	private static final Duration IN_FLIGHT_RETRY_AFTER = Duration.ofSeconds(1);
 
 	private final TokenBucket requests;
 
@@ -30,7 +30,7 @@
 
 	/**
 	 * Returns a gate without limits.
-	 * @param ticker the time
+	 * @param ticker the monotonic clock
 	 * @return a new gate
 	 */
 	public static AccountGate of(Ticker ticker) {
@@ -38,11 +38,10 @@
 	}
 
 	/**
-	 * Puts other limits in force. What is in flight and what has been used so far stays
-	 * counted.
-	 * @param requestsPerSecond requests a second at this entry, or zero for no limit
+	 * Replaces the limits. Requests in flight and the usage so far stay counted.
+	 * @param requestsPerSecond requests per second at this entry, or zero for no limit
 	 * @param requestsInFlight requests in flight at this entry, or zero for no limit
-	 * @param tokensPerSecond tokens a second at this entry, or zero for no limit
+	 * @param tokensPerSecond tokens per second at this entry, or zero for no limit
 	 */
 	public void setLimits(double requestsPerSecond, int requestsInFlight, double tokensPerSecond) {
 		this.requests.setRate(requestsPerSecond);
@@ -51,17 +50,17 @@
 	}
 
 	/**
-	 * Asks for a request to be let in. A request that is let in must be ended with
-	 * {@link #release(int)}.
-	 * @return empty if it is let in, else what kept it out
+	 * Admits a request if no limit is exceeded. Each admitted request must be released
+	 * with {@link #release(int)}.
+	 * @return empty if the request is admitted, else the limit that refuses it
 	 */
 	public Optional<Refusal> admit() {
-		Duration tokenDebt = this.tokens.timeUntilAvailable();
-		if (!tokenDebt.isZero()) {
-			return Optional.of(new Refusal("tokens per second", tokenDebt));
+		Duration tokenWait = this.tokens.timeUntilAvailable();
+		if (!tokenWait.isZero()) {
+			return Optional.of(new Refusal("tokens per second", tokenWait));
 		}
-		if (!enter(this.inFlightLimit)) {
-			return Optional.of(new Refusal("requests in flight", IN_FLIGHT_WAIT));
+		if (!incrementInFlight(this.inFlightLimit)) {
+			return Optional.of(new Refusal("requests in flight", IN_FLIGHT_RETRY_AFTER));
 		}
 		Duration wait = this.requests.tryTake();
 		if (!wait.isZero()) {
@@ -71,23 +70,25 @@
 		return Optional.empty();
 	}
 
-	// Counted up first and taken back when over the limit, the count would for a moment
-	// hold a request that is refused, and refuse another for which there is room.
-	private boolean enter(int limit) {
-		int seen = this.inFlight.get();
-		while (limit <= 0 || seen < limit) {
-			if (this.inFlight.compareAndSet(seen, seen + 1)) {
+	// Compare-and-set instead of increment and undo: a request that is about to be
+	// refused would be counted for a moment and could make another one be refused
+	// although there is room for it.
+	private boolean incrementInFlight(int limit) {
+		int current = this.inFlight.get();
+		while (limit <= 0 || current < limit) {
+			if (this.inFlight.compareAndSet(current, current + 1)) {
 				return true;
 			}
-			seen = this.inFlight.get();
+			current = this.inFlight.get();
 		}
 		return false;
 	}
 
 	/**
-	 * Learns that a request that was let in has ended.
-	 * @param tokensUsed the tokens of its prompt and answer. They are known only now, so
-	 * a request may take the account beyond its limit; the next ones wait for it
+	 * Called when an admitted request has ended.
+	 * @param tokensUsed tokens of its prompt and answer. The number is known only at the
+	 * end, so a request may exceed the limit; later requests are refused until the excess
+	 * has been made up for
 	 */
 	public void release(int tokensUsed) {
 		this.inFlight.decrementAndGet();
@@ -103,15 +104,15 @@
 	}
 
 	/**
-	 * Why a request was not let in.
+	 * Why a request was not admitted.
 	 *
-	 * @param limit the limit, as an operator knows it
-	 * @param retryAfter after which time a request can be let in
+	 * @param limit the name of the limit that was reached, for the error message
+	 * @param retryAfter how long until a request can be admitted
 	 */
 	public record Refusal(String limit, Duration retryAfter) {
 
 		/**
-		 * Checks the parts.
+		 * Checks that no component is null.
 		 */
 		public Refusal {
 			Objects.requireNonNull(limit, "limit is null");
--- a/modules/core/src/main/java/org/ragworthook/core/admission/ArrivalOrderGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/ArrivalOrderGate.java
@@ -6,8 +6,8 @@
 import java.util.Objects;
 
 /**
- * Passes every request on as it comes and leaves the queue to the engine: no priorities,
- * no preemption. The baseline that {@link PriorityGate} is measured against.
+ * Forwards every request immediately and leaves queueing to the engine: no priorities, no
+ * preemption. Serves as the baseline for benchmarks of {@link PriorityGate}.
  */
 public final class ArrivalOrderGate implements EngineGate {
 
@@ -17,7 +17,7 @@
 
 	private int batchRunning;
 
-	private boolean leaving;
+	private boolean draining;
 
 	private ArrivalOrderGate(int batchLimit) {
 		this.batchLimit = batchLimit;
@@ -25,8 +25,8 @@
 
 	/**
 	 * Returns a gate.
-	 * @param batchLimit how many batch requests may be at the engine, in its queue or
-	 * running
+	 * @param batchLimit the maximum number of batch requests at the engine, queued there
+	 * or running
 	 * @return a new gate
 	 */
 	public static ArrivalOrderGate of(int batchLimit) {
@@ -45,7 +45,7 @@
 
 	private List<GateAction> offer(Offer offer, boolean batch) {
 		Objects.requireNonNull(offer, "offer is null");
-		if (this.leaving) {
+		if (this.draining) {
 			return List.of(new GateAction.Refuse(offer.run(), GateAction.Reason.DRAINING));
 		}
 		if (batch && this.batchRunning >= this.batchLimit) {
@@ -61,7 +61,7 @@
 	}
 
 	@Override
-	public List<GateAction> finished(RunKey run, RunOutcome ending, int tokens) {
+	public List<GateAction> finished(RunKey run, RunOutcome outcome, int tokens) {
 		Boolean batch = this.running.remove(run);
 		this.batchRunning -= (Boolean.TRUE.equals(batch)) ? 1 : 0;
 		return List.of();
@@ -88,15 +88,15 @@
 
 	@Override
 	public List<GateAction> drain() {
-		this.leaving = true;
+		this.draining = true;
 		return List.of();
 	}
 
 	@Override
 	public GateLoad load() {
-		int room = (this.leaving) ? 0 : Math.max(0, this.batchLimit - this.batchRunning);
+		int batchRoom = (this.draining) ? 0 : Math.max(0, this.batchLimit - this.batchRunning);
 		int online = this.running.size() - this.batchRunning;
-		return new GateLoad(online, this.batchRunning, 0, 0, Math.max(1, this.running.size()), room);
+		return new GateLoad(online, this.batchRunning, 0, 0, Math.max(1, this.running.size()), batchRoom);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/admission/ConcurrencyLimit.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/ConcurrencyLimit.java
@@ -4,38 +4,39 @@
 import java.util.Objects;
 
 /**
- * Learns how many requests an engine runs at once without a queue of its own.
+ * Adaptive concurrency limit: finds out how many requests an engine can run at once
+ * without queueing.
  * <p>
- * An engine admits in arrival order. If it is given more than it can run, an online
- * request waits inside it behind batch requests, where nothing can overtake; one notices
- * by first tokens that come late even for the shortest prompts. The limit is therefore
- * lowered when the quickest first output of a window is much slower than it can be, when
- * tokens take longer than their target, when the engine reports a queue, or when it
- * refuses a request; it rises by one when a window shows none of this although the limit
- * was in use. How quick a first output can be is learnt in an occasional window with half
- * the limit.
+ * An engine admits requests in arrival order. If it is sent more than it can run, an
+ * online request waits in the engine's queue behind batch requests, where it cannot be
+ * prioritized; the symptom is a high time to first token even for the shortest prompts.
+ * The limit is therefore lowered when the minimum time to first output in a window is
+ * much longer than the baseline, when the time per token exceeds its target, when the
+ * engine reports a queue, or when the engine rejects a request. It is raised when none of
+ * this occurred in a window in which the limit was reached. The baseline is refreshed in
+ * occasional probe windows that run with half the limit.
  */
 public final class ConcurrencyLimit {
 
-	private static final int WINDOW = 16;
+	private static final int WINDOW_SAMPLES = 16;
 
-	private static final double LOWER = 0.85;
+	private static final double DECREASE_FACTOR = 0.85;
 
-	private static final double LARGEST_STEP = 4;
+	private static final double MAX_STEP_DIVISOR = 4;
 
-	private static final int REPORTS_OF_QUEUE = 2;
+	private static final int QUEUE_REPORTS_TO_COUNT = 2;
 
-	private static final int REPORT_WINDOWS = 3;
+	private static final int REPORT_MAX_AGE_WINDOWS = 3;
 
 	private static final int PROBE_SAMPLES = 8;
 
-	private static final int PROBE_EVERY = 64;
+	private static final int PROBE_INTERVAL_WINDOWS = 64;
 
-	private static final int PROBE_AGAIN = 2;
+	private static final int PROBE_RETRY_WINDOWS = 2;
 
-	private static final double BASELINE_RISE = 1.2;
+	private static final double BASELINE_MAX_RISE = 1.2;
 
-	private static final long SLACK_NANOS = Duration.ofMillis(2).toNanos();
+	private static final long BASELINE_SLACK_NANOS = Duration.ofMillis(2).toNanos();
 
 	private final int minimum;
 
@@ -49,25 +50,25 @@
 
 	private long baselineNanos = Long.MAX_VALUE;
 
-	private long windowMinimum = Long.MAX_VALUE;
+	private long windowMinimumNanos = Long.MAX_VALUE;
 
-	private long tokenNanos;
+	private long tokenTimeNanos;
 
-	private long tokens;
+	private long tokenCount;
 
-	private int samples;
+	private int windowSamples;
 
-	private int untilProbe = PROBE_AGAIN;
+	private int windowsUntilProbe = PROBE_RETRY_WINDOWS;
 
-	private boolean inUse;
+	private boolean limitWasReached;
 
-	private boolean strained;
+	private boolean overloadSeen;
 
-	private int quickWindows;
+	private int windowsWithoutQueue;
 
-	private int reportAge = REPORT_WINDOWS + 1;
+	private int reportAgeWindows = REPORT_MAX_AGE_WINDOWS + 1;
 
-	private int waitingReports;
+	private int nonEmptyReports;
 
 	private ConcurrencyLimit(Builder builder) {
 		this.minimum = builder.minimum;
@@ -86,8 +87,8 @@
 	}
 
 	/**
-	 * Returns a limit that does not change.
-	 * @param limit how many requests, at least one
+	 * Returns a limit that never changes.
+	 * @param limit the maximum number of requests, at least one
 	 * @return the limit
 	 */
 	public static ConcurrencyLimit fixed(int limit) {
@@ -95,11 +96,11 @@
 	}
 
 	/**
-	 * Returns the limit as it stands.
-	 * @return how many requests may be at the engine
+	 * Returns the current limit.
+	 * @return the maximum number of requests at the engine
 	 */
 	public int value() {
-		return (this.untilProbe > 0) ? (int) this.limit : probeValue();
+		return (this.windowsUntilProbe > 0) ? (int) this.limit : probeValue();
 	}
 
 	private int probeValue() {
@@ -107,158 +108,161 @@
 	}
 
 	/**
-	 * Learns how long a first output took.
-	 * @param nanos since the request was passed on
+	 * Called with the time to first output of a request.
+	 * @param nanos nanoseconds since the request was sent to the engine
 	 */
 	public void firstOutput(long nanos) {
-		this.windowMinimum = Math.min(this.windowMinimum, Math.max(1, nanos));
-		sampled();
+		this.windowMinimumNanos = Math.min(this.windowMinimumNanos, Math.max(1, nanos));
+		countSample();
 	}
 
-	private void sampled() {
-		this.samples++;
-		if (this.samples >= ((this.untilProbe > 0) ? WINDOW : PROBE_SAMPLES)) {
+	private void countSample() {
+		this.windowSamples++;
+		if (this.windowSamples >= ((this.windowsUntilProbe > 0) ? WINDOW_SAMPLES : PROBE_SAMPLES)) {
 			closeWindow();
 		}
 	}
 
 	/**
-	 * Learns how long a run took for the tokens after its first.
-	 * @param count how many tokens
-	 * @param nanos how long they took together
+	 * Called when a run has ended, with the time that it took after its first token.
+	 * @param count the number of tokens after the first
+	 * @param nanos nanoseconds from the first token to the end
 	 */
 	public void tokensGenerated(int count, long nanos) {
-		this.tokens += count;
-		this.tokenNanos += nanos;
+		this.tokenCount += count;
+		this.tokenTimeNanos += nanos;
 	}
 
 	/**
-	 * Learns that the limit was reached.
+	 * Called when a request had to wait because the limit was reached.
 	 */
 	public void limitReached() {
-		this.inUse = true;
+		this.limitWasReached = true;
 	}
 
 	/**
-	 * Learns that the engine has a queue or refused a request. The limit is lowered once
-	 * a window, since the same queue is seen by every request in it.
+	 * Called when the engine reports a queue or rejects a request as overloaded. Lowers
+	 * the limit at most once per window, since all requests of a window observe the same
+	 * queue.
 	 */
 	public void overloaded() {
-		if (!this.strained) {
-			lower();
+		if (!this.overloadSeen) {
+			decrease();
 		}
-		this.strained = true;
-		sampled();
+		this.overloadSeen = true;
+		countSample();
 	}
 
 	/**
-	 * Learns how many requests wait in the engine's own queue, from the engine's lagging
-	 * report. Engines let requests in between two steps, so that one which has just come
-	 * shows as waiting; only two reports in a row count as a queue. Where a report says
-	 * that there is none, slow first outputs have another cause: a request that takes the
-	 * place of one that has just ended always waits for a whole step, and against the
-	 * baseline of an idle engine that looks like a queue.
-	 * @param waiting requests in the engine's queue
+	 * Called with the length of the engine's own queue, from the engine's delayed load
+	 * report. Engines admit requests between two steps, so a request that has just
+	 * arrived is reported as waiting; only two non-empty reports in a row count as a
+	 * queue. While reports show no queue, slow first outputs are ignored: a request that
+	 * takes the slot of one that has just ended always waits for a whole engine step,
+	 * which looks like queueing compared with the baseline of an idle engine.
+	 * @param waiting the number of requests in the engine's queue
 	 */
 	public void queueReported(int waiting) {
-		this.reportAge = 0;
-		this.waitingReports = (waiting > 0) ? this.waitingReports + 1 : 0;
-		if (this.waitingReports >= REPORTS_OF_QUEUE) {
+		this.reportAgeWindows = 0;
+		this.nonEmptyReports = (waiting > 0) ? this.nonEmptyReports + 1 : 0;
+		if (this.nonEmptyReports >= QUEUE_REPORTS_TO_COUNT) {
 			overloaded();
 		}
 	}
 
-	private boolean reportedEmpty() {
-		return this.reportAge <= REPORT_WINDOWS && this.waitingReports < REPORTS_OF_QUEUE;
+	private boolean queueReportedEmpty() {
+		return this.reportAgeWindows <= REPORT_MAX_AGE_WINDOWS && this.nonEmptyReports < QUEUE_REPORTS_TO_COUNT;
 	}
 
 	private void closeWindow() {
-		this.reportAge++;
-		if (this.untilProbe == 0) {
+		this.reportAgeWindows++;
+		if (this.windowsUntilProbe == 0) {
 			endProbe();
 		}
 		else {
 			adjust();
-			// A probe of an engine that is hardly used would last long and meet the next
-			// burst
-			// with half the slots; one that reports its queue needs none.
-			if (this.inUse && !reportedEmpty()) {
-				this.untilProbe--;
+			// Counts down to the next probe only while the limit is in use: on a nearly
+			// idle engine a probe would last long, and the next burst would find half
+			// the slots. An engine that reports its queue needs no probe.
+			if (this.limitWasReached && !queueReportedEmpty()) {
+				this.windowsUntilProbe--;
 			}
 		}
-		this.windowMinimum = Long.MAX_VALUE;
-		this.tokens = 0;
-		this.tokenNanos = 0;
-		this.samples = 0;
-		this.inUse = false;
-		this.strained = false;
+		this.windowMinimumNanos = Long.MAX_VALUE;
+		this.tokenCount = 0;
+		this.tokenTimeNanos = 0;
+		this.windowSamples = 0;
+		this.limitWasReached = false;
+		this.overloadSeen = false;
 	}
 
-	// First outputs that are much quicker at half the limit show that the engine had a
-	// queue all along, even if no window was slower than the one before.
+	// First outputs that are much faster at half the limit show that the engine had a
+	// queue all along, even if no window was slower than the one before it.
 	private void endProbe() {
-		if (!reportedEmpty() && muchSlower(this.baselineNanos, this.windowMinimum)) {
+		if (!queueReportedEmpty() && muchSlower(this.baselineNanos, this.windowMinimumNanos)) {
 			this.limit = probeValue();
-			this.quickWindows = 0;
-			this.untilProbe = PROBE_AGAIN;
+			this.windowsWithoutQueue = 0;
+			this.windowsUntilProbe = PROBE_RETRY_WINDOWS;
 		}
 		else {
-			this.untilProbe = PROBE_EVERY;
+			this.windowsUntilProbe = PROBE_INTERVAL_WINDOWS;
 		}
-		learnBaseline();
+		updateBaseline();
 	}
 
 	private boolean muchSlower(long nanos, long base) {
-		return nanos != Long.MAX_VALUE && base != Long.MAX_VALUE && nanos > (base * this.tolerance) + SLACK_NANOS;
+		return nanos != Long.MAX_VALUE && base != Long.MAX_VALUE
+				&& nanos > (base * this.tolerance) + BASELINE_SLACK_NANOS;
 	}
 
 	private void adjust() {
-		boolean slow = !reportedEmpty() && muchSlower(this.windowMinimum, this.baselineNanos);
-		if (slow || slowTokens()) {
-			if (!this.strained) {
-				lower();
+		boolean slow = !queueReportedEmpty() && muchSlower(this.windowMinimumNanos, this.baselineNanos);
+		if (slow || tokensTooSlow()) {
+			if (!this.overloadSeen) {
+				decrease();
 			}
 		}
-		else if (this.inUse && !this.strained) {
-			this.limit = Math.min(this.maximum, this.limit + step());
+		else if (this.limitWasReached && !this.overloadSeen) {
+			this.limit = Math.min(this.maximum, this.limit + increaseStep());
 		}
-		this.baselineNanos = Math.min(this.baselineNanos, this.windowMinimum);
+		this.baselineNanos = Math.min(this.baselineNanos, this.windowMinimumNanos);
 	}
 
-	// The more windows in a row show no queue, the larger the step: by one at a time a
-	// sidecar that has just started, or whose engine was slow once, would leave half of
-	// the
-	// engine idle for many seconds, and idle capacity lasts only seconds.
-	private double step() {
-		this.quickWindows++;
-		return Math.max(1, Math.min(this.quickWindows, this.limit / LARGEST_STEP));
+	// The step grows with the number of windows in a row without a queue. With steps of
+	// one, a sidecar that has just started, or whose engine was slow once, would leave
+	// half of the engine idle for many seconds, longer than idle capacity usually
+	// lasts.
+	private double increaseStep() {
+		this.windowsWithoutQueue++;
+		return Math.max(1, Math.min(this.windowsWithoutQueue, this.limit / MAX_STEP_DIVISOR));
 	}
 
-	private boolean slowTokens() {
-		return this.tokenTargetNanos > 0 && this.tokens > 0 && this.tokenNanos / this.tokens > this.tokenTargetNanos;
+	private boolean tokensTooSlow() {
+		return this.tokenTargetNanos > 0 && this.tokenCount > 0
+				&& this.tokenTimeNanos / this.tokenCount > this.tokenTargetNanos;
 	}
 
-	// An engine that got another model is slower for good: if the baseline never rose,
-	// the
-	// limit would fall to the minimum and stay there. If it rose while the engine has a
-	// queue, the queue would count as normal and the limit would rise without end. So it
-	// rises a little, and only in a window in which half the requests were let in.
-	private void learnBaseline() {
-		if (this.baselineNanos == Long.MAX_VALUE || this.windowMinimum < this.baselineNanos) {
-			this.baselineNanos = this.windowMinimum;
+	// The baseline has to rise slowly. If it never rose, the limit of an engine that
+	// got a slower model would fall to the minimum and stay there. If it rose while the
+	// engine has a queue, the queue would count as normal and the limit would rise
+	// without bound. So it rises by at most 20 %, and only in a probe window, which
+	// runs with half the limit.
+	private void updateBaseline() {
+		if (this.baselineNanos == Long.MAX_VALUE || this.windowMinimumNanos < this.baselineNanos) {
+			this.baselineNanos = this.windowMinimumNanos;
 		}
-		else if (this.windowMinimum != Long.MAX_VALUE) {
-			this.baselineNanos = Math.min(this.windowMinimum, (long) (this.baselineNanos * BASELINE_RISE));
+		else if (this.windowMinimumNanos != Long.MAX_VALUE) {
+			this.baselineNanos = Math.min(this.windowMinimumNanos, (long) (this.baselineNanos * BASELINE_MAX_RISE));
 		}
 	}
 
-	private void lower() {
-		this.quickWindows = 0;
-		this.limit = Math.max(this.minimum, this.limit * LOWER);
+	private void decrease() {
+		this.windowsWithoutQueue = 0;
+		this.limit = Math.max(this.minimum, this.limit * DECREASE_FACTOR);
 	}
 
 	/**
-	 * Builds limits.
+	 * Builds a {@link ConcurrencyLimit}.
 	 */
 	public static final class Builder {
 
@@ -277,22 +281,22 @@
 
 		/**
 		 * Sets the bounds of the limit.
-		 * @param least the lowest value, at least one
-		 * @param most the highest value
+		 * @param lowest the lowest value, at least one
+		 * @param highest the highest value
 		 * @return this builder
 		 */
-		public Builder bounds(int least, int most) {
-			if (least < 1 || most < least) {
-				throw new IllegalArgumentException("bounds " + least + " to " + most + " are not ascending from 1");
+		public Builder bounds(int lowest, int highest) {
+			if (lowest < 1 || highest < lowest) {
+				throw new IllegalArgumentException("bounds " + lowest + " to " + highest + " are not ascending from 1");
 			}
-			this.minimum = least;
-			this.maximum = most;
+			this.minimum = lowest;
+			this.maximum = highest;
 			return this;
 		}
 
 		/**
-		 * Sets where the limit starts.
-		 * @param value the first value; it is brought within the bounds
+		 * Sets the initial limit.
+		 * @param value the initial limit; it is clamped to the bounds
 		 * @return this builder
 		 */
 		public Builder initial(int value) {
@@ -301,9 +305,9 @@
 		}
 
 		/**
-		 * Sets how much slower than the quickest known a window's quickest first output
-		 * may be.
-		 * @param factor a factor above one
+		 * Sets by how much a window's minimum time to first output may exceed the
+		 * baseline before the limit is lowered.
+		 * @param factor the ratio of the two, above one
 		 * @return this builder
 		 */
 		public Builder tolerance(double factor) {
@@ -312,9 +316,9 @@
 		}
 
 		/**
-		 * Sets how long a token may take.
-		 * @param target the mean time of a token above which the limit is lowered; zero
-		 * for no such bound
+		 * Sets the target for the mean time per output token.
+		 * @param target the time per token above which the limit is lowered; zero for no
+		 * target
 		 * @return this builder
 		 */
 		public Builder tokenTarget(Duration target) {
--- a/modules/core/src/main/java/org/ragworthook/core/admission/EngineGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/EngineGate.java
@@ -3,51 +3,52 @@
 import java.util.List;
 
 /**
- * Decides which requests are at the engine. Events go in, actions come out, in the order
- * in which they are to be carried out. A gate is confined to one thread: the sidecar
- * calls it from the event loop that owns its engine.
+ * Schedules the requests of one engine: decides which run there, which wait and which are
+ * cancelled. Methods take events and return the actions to carry out, in order. Not
+ * thread-safe: the sidecar calls a gate only from the event loop that owns its engine.
  */
 public interface EngineGate {
 
 	/**
-	 * Takes an online request in.
+	 * Called when an online request arrives.
 	 * @param offer the request
 	 * @return what to do
 	 */
 	List<GateAction> offerOnline(Offer offer);
 
 	/**
-	 * Takes a batch request in.
+	 * Called when a batch request arrives.
 	 * @param offer the request
 	 * @return what to do
 	 */
 	List<GateAction> offerBatch(Offer offer);
 
 	/**
-	 * Learns that the engine has given the first output of a run.
+	 * Called when the engine has produced the first output of a run.
 	 * @param run the run
 	 */
 	void firstOutput(RunKey run);
 
 	/**
-	 * Learns that a run is over. A run that the gate does not know is ignored.
+	 * Called when a run has ended. Ignores runs that the gate does not know.
 	 * @param run the run
-	 * @param ending how it ended
-	 * @param tokens how many tokens it generated, or zero where there are none
+	 * @param outcome how it ended
+	 * @param tokens the number of tokens generated, or zero for requests that generate
+	 * none
 	 * @return what to do
 	 */
-	List<GateAction> finished(RunKey run, RunOutcome ending, int tokens);
+	List<GateAction> finished(RunKey run, RunOutcome outcome, int tokens);
 
 	/**
-	 * Learns that a cancelled batch run has left the engine.
+	 * Called when a batch run has stopped after {@link GateAction.Cancel}.
 	 * @param run the run
 	 * @return what to do
 	 */
 	List<GateAction> preempted(RunKey run);
 
 	/**
-	 * Learns that nobody wants a request any longer. A request that still waits leaves
-	 * the queue without an action; one that runs stays counted until
+	 * Called when the caller has given up on a request. A waiting request is removed from
+	 * the queue without an action; a running one stays counted until
 	 * {@link #finished(RunKey, RunOutcome, int)}.
 	 * @param run the run
 	 * @return whether the request was still waiting
@@ -55,33 +56,34 @@
 	boolean withdraw(RunKey run);
 
 	/**
-	 * Learns, with a lag, how many requests wait in the engine's own queue.
-	 * @param waiting the number that the engine's load page gives
+	 * Called with the length of the engine's own queue, which the engine reports with a
+	 * delay.
+	 * @param waiting the number of waiting requests on the engine's load page
 	 */
 	void engineQueueReported(int waiting);
 
 	/**
-	 * Lets go of requests whose deadline has passed and of suspects that have waited long
-	 * enough. Called every few hundred milliseconds.
+	 * Refuses requests whose deadline has passed and starts exclusive requests that have
+	 * waited long enough. Called every few hundred milliseconds.
 	 * @return what to do
 	 */
 	List<GateAction> sweep();
 
 	/**
-	 * Stops taking requests in. Everything that waits is handed back; batch runs that may
-	 * be cancelled are, all others finish.
+	 * Stops accepting requests. Refuses all waiting requests and cancels preemptible
+	 * batch runs; all other runs finish.
 	 * @return what to do
 	 */
 	List<GateAction> drain();
 
 	/**
-	 * Returns how busy the engine is.
-	 * @return the load
+	 * Returns the numbers of running and waiting requests.
+	 * @return the current load
 	 */
 	GateLoad load();
 
 	/**
-	 * Tells whether nothing runs and nothing waits.
+	 * Returns whether no request runs or waits.
 	 * @return whether the gate is idle
 	 */
 	default boolean idle() {
--- a/modules/core/src/main/java/org/ragworthook/core/admission/EnqueueResult.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/EnqueueResult.java
@@ -5,23 +5,23 @@
 import java.util.Optional;
 
 /**
- * Whether a request got a place in a fair queue.
+ * The result of offering a request to a {@link FairQueue}.
  *
- * @param <T> the type of what waits
+ * @param <T> the type of the queued item
  */
 public sealed interface EnqueueResult<T> {
 
 	/**
-	 * The request waits.
+	 * The request was queued.
 	 *
-	 * @param shed who had to go for it, never passed on
-	 * @param retryAfter what the one who had to go is told
-	 * @param <T> the type of what waits
+	 * @param shed the request removed to make room, if any; it was never sent
+	 * @param retryAfter when the shed request should be sent again
+	 * @param <T> the type of the queued item
 	 */
 	record Queued<T>(Optional<QueuedRequest<T>> shed, Duration retryAfter) implements EnqueueResult<T> {
 
 		/**
-		 * Checks the parts.
+		 * Checks that no component is null.
 		 */
 		public Queued {
 			Objects.requireNonNull(shed, "shed is null");
@@ -33,14 +33,14 @@
 	/**
 	 * The request was refused.
 	 *
-	 * @param reason why
-	 * @param retryAfter after which time it may find room
-	 * @param <T> the type of what waits
+	 * @param reason why it was refused
+	 * @param retryAfter when it should be sent again
+	 * @param <T> the type of the queued item
 	 */
 	record Refused<T>(Reason reason, Duration retryAfter) implements EnqueueResult<T> {
 
 		/**
-		 * Checks the parts.
+		 * Checks that no component is null.
 		 */
 		public Refused {
 			Objects.requireNonNull(reason, "reason is null");
@@ -54,10 +54,10 @@
 	 */
 	enum Reason {
 
-		/** The queue is full, and nothing in it is less urgent. */
+		/** The queue is full and holds no request that may be shed for this one. */
 		FULL,
 
-		/** The deadline will pass before its turn comes. */
+		/** The deadline is earlier than the expected end of the wait. */
 		DEADLINE_UNREACHABLE
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/admission/FairQueue.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/FairQueue.java
@@ -13,15 +13,15 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Requests that wait for room, served in turn by account: each account gets a share by
- * its weight, and within an account the most urgent goes first. Confined to one thread,
- * but for {@link #requestEnded()}.
+ * Bounded queue of requests with weighted fair queueing across accounts: each account is
+ * served in proportion to its weight, and within an account the earliest deadline goes
+ * first. Not thread-safe, except for {@link #requestEnded()}.
  * <p>
- * The queue is bounded. If it is full, the least urgent of those accounts is shed that
- * have at least as much waiting, for their weight, as the newcomer's, so that no account
- * can push others out by asking for more.
+ * If the queue is full, an arrival may replace a waiting request: the one with the latest
+ * deadline among the accounts whose backlog, relative to their weight, is at least that
+ * of the arrival's account. So no account can crowd out others by sending more.
  *
- * @param <T> the type of what waits
+ * @param <T> the type of the queued item
  */
 public final class FairQueue<T> {
 
@@ -29,30 +29,31 @@
 
 	private final int capacity;
 
-	private final DrainRate drain;
+	private final CompletionRate completions;
 
 	private final Map<String, Account<T>> accounts = new HashMap<>();
 
-	private final TreeSet<Account<T>> turns = new TreeSet<>(
-			Comparator.comparingDouble((Account<T> account) -> account.turn).thenComparing((account) -> account.name));
+	private final TreeSet<Account<T>> byVirtualTime = new TreeSet<>(
+			Comparator.comparingDouble((Account<T> account) -> account.virtualTime)
+				.thenComparing((account) -> account.name));
 
-	private double served;
+	private double virtualTime;
 
-	private long order;
+	private long nextOrder;
 
 	private int size;
 
 	private FairQueue(Ticker ticker, int capacity) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.capacity = capacity;
-		this.drain = new DrainRate(ticker);
+		this.completions = new CompletionRate(ticker);
 	}
 
 	/**
 	 * Returns an empty queue.
-	 * @param ticker the time
-	 * @param capacity how many may wait
-	 * @param <T> the type of what waits
+	 * @param ticker the monotonic clock
+	 * @param capacity the maximum number of waiting requests
+	 * @param <T> the type of the queued item
 	 * @return a new queue
 	 */
 	public static <T> FairQueue<T> of(Ticker ticker, int capacity) {
@@ -60,106 +61,108 @@
 	}
 
 	/**
-	 * Asks for a place.
-	 * @param ticket what wants to wait
-	 * @return whether it waits, and who had to go for it
+	 * Queues a request, or refuses it if the queue is full or the request cannot meet its
+	 * deadline.
+	 * @param request the request
+	 * @return whether the request was queued, and which request was shed for it
 	 */
-	public EnqueueResult<T> offer(QueuedRequest<T> ticket) {
-		Objects.requireNonNull(ticket, "ticket is null");
-		Account<T> account = this.accounts.get(ticket.account());
-		int own = (account != null) ? account.waiting.size() : 0;
-		Duration wait = expectedWait(own, ticket.weight());
-		// A request that cannot be in time is refused while its caller can still go
-		// elsewhere; letting it wait would also hold up those that can be in time.
-		if (ticket.deadlineNanos() != Offer.NO_DEADLINE && this.drain.known()
-				&& ticket.deadlineNanos() - this.ticker.nanos() < wait.toNanos() && this.size > 0) {
+	public EnqueueResult<T> offer(QueuedRequest<T> request) {
+		Objects.requireNonNull(request, "request is null");
+		Account<T> account = this.accounts.get(request.account());
+		int ownWaiting = (account != null) ? account.waiting.size() : 0;
+		Duration wait = expectedWait(ownWaiting, request.weight());
+		// Refuses a request that cannot meet its deadline while its caller can still go
+		// elsewhere; queued, it would also delay requests that can.
+		if (request.deadlineNanos() != Offer.NO_DEADLINE && this.completions.known()
+				&& request.deadlineNanos() - this.ticker.nanos() < wait.toNanos() && this.size > 0) {
 			return new EnqueueResult.Refused<>(EnqueueResult.Reason.DEADLINE_UNREACHABLE, wait);
 		}
 		Optional<QueuedRequest<T>> shed = Optional.empty();
 		if (this.size >= this.capacity) {
-			Optional<Waiting<T>> victim = victim(ticket, own);
+			Optional<Waiting<T>> victim = victim(request, ownWaiting);
 			if (victim.isEmpty()) {
 				return new EnqueueResult.Refused<>(EnqueueResult.Reason.FULL, wait);
 			}
 			remove(victim.get());
-			shed = Optional.of(victim.get().ticket());
+			shed = Optional.of(victim.get().request());
 		}
-		add(ticket);
+		add(request);
 		return new EnqueueResult.Queued<>(shed, retryAfter());
 	}
 
-	private void add(QueuedRequest<T> ticket) {
-		Account<T> account = this.accounts.computeIfAbsent(ticket.account(), (name) -> {
+	private void add(QueuedRequest<T> request) {
+		Account<T> account = this.accounts.computeIfAbsent(request.account(), (name) -> {
 			Account<T> fresh = new Account<>(name);
-			fresh.turn = this.served;
-			this.turns.add(fresh);
+			fresh.virtualTime = this.virtualTime;
+			this.byVirtualTime.add(fresh);
 			return fresh;
 		});
-		account.weight = ticket.weight();
-		account.waiting.add(new Waiting<>(ticket, this.order++));
+		account.weight = request.weight();
+		account.waiting.add(new Waiting<>(request, this.nextOrder++));
 		this.size++;
 	}
 
-	private Optional<Waiting<T>> victim(QueuedRequest<T> newcomer, int own) {
-		double ownShare = (own + 1) / (double) newcomer.weight();
+	private Optional<Waiting<T>> victim(QueuedRequest<T> arrival, int ownWaiting) {
+		double arrivalBacklog = (ownWaiting + 1) / (double) arrival.weight();
 		Optional<Waiting<T>> victim = Optional.empty();
 		for (Account<T> account : this.accounts.values()) {
 			Waiting<T> last = account.waiting.last();
-			boolean eligible = account.share() >= ownShare || account.name.equals(newcomer.account());
+			boolean eligible = account.backlog() >= arrivalBacklog || account.name.equals(arrival.account());
 			if (eligible && (victim.isEmpty() || last.compareTo(victim.get()) > 0)) {
 				victim = Optional.of(last);
 			}
 		}
-		return victim.filter((waiting) -> yields(waiting.ticket(), newcomer, ownShare));
+		return victim.filter((waiting) -> yields(waiting.request(), arrival, arrivalBacklog));
 	}
 
-	// One of equal urgency goes only if its account has more waiting.
-	private boolean yields(QueuedRequest<T> waiting, QueuedRequest<T> newcomer, double ownShare) {
-		if (waiting.deadlineNanos() != newcomer.deadlineNanos()) {
-			return waiting.deadlineNanos() > newcomer.deadlineNanos();
+	// With equal deadlines, a request is shed only if its account has the larger
+	// backlog.
+	private boolean yields(QueuedRequest<T> waiting, QueuedRequest<T> arrival, double arrivalBacklog) {
+		if (waiting.deadlineNanos() != arrival.deadlineNanos()) {
+			return waiting.deadlineNanos() > arrival.deadlineNanos();
 		}
-		return this.accounts.get(waiting.account()).share() > ownShare;
+		return this.accounts.get(waiting.account()).backlog() > arrivalBacklog;
 	}
 
 	/**
-	 * Takes out the request whose turn it is.
-	 * @return what waited, or empty if nothing waits
+	 * Removes and returns the next request.
+	 * @return the request, or empty if the queue is empty
 	 */
 	public Optional<QueuedRequest<T>> poll() {
-		if (this.turns.isEmpty()) {
+		if (this.byVirtualTime.isEmpty()) {
 			return Optional.empty();
 		}
-		Account<T> account = this.turns.pollFirst();
+		Account<T> account = this.byVirtualTime.pollFirst();
 		Waiting<T> first = account.waiting.pollFirst();
-		this.served = account.turn;
-		account.turn += 1.0 / account.weight;
+		this.virtualTime = account.virtualTime;
+		account.virtualTime += 1.0 / account.weight;
 		this.size--;
 		if (account.waiting.isEmpty()) {
 			this.accounts.remove(account.name);
 		}
 		else {
-			this.turns.add(account);
+			this.byVirtualTime.add(account);
 		}
-		return Optional.of(first.ticket());
+		return Optional.of(first.request());
 	}
 
 	/**
-	 * Learns that a request has ended, whether or not it had to wait. The rate at which
-	 * they end tells how long others will wait. May be called by any thread.
+	 * Called when a request has ended, whether or not it was queued. The rate of these
+	 * calls is the basis of the estimated waiting times. Thread-safe.
 	 */
 	public void requestEnded() {
-		this.drain.ended();
+		this.completions.recordEnd();
 	}
 
 	/**
-	 * Takes a request out that nobody waits for any longer.
-	 * @param item what waited
-	 * @return whether it was there
+	 * Removes a request whose caller has given up.
+	 * @param item the queued item
+	 * @return whether it was in the queue
 	 */
 	public boolean withdraw(T item) {
 		for (Account<T> account : this.accounts.values()) {
 			for (Waiting<T> waiting : account.waiting) {
-				if (waiting.ticket().item().equals(item)) {
+				if (waiting.request().item().equals(item)) {
 					remove(waiting);
 					return true;
 				}
@@ -169,60 +172,62 @@
 	}
 
 	/**
-	 * Takes out the requests whose deadline has passed.
-	 * @return what waited too long
+	 * Removes the requests whose deadline has passed.
+	 * @return the removed requests
 	 */
 	public List<QueuedRequest<T>> removeExpired() {
 		long now = this.ticker.nanos();
-		List<Waiting<T>> late = new ArrayList<>();
+		List<Waiting<T>> expired = new ArrayList<>();
 		for (Account<T> account : this.accounts.values()) {
 			for (Waiting<T> waiting : account.waiting) {
-				long deadline = waiting.ticket().deadlineNanos();
+				long deadline = waiting.request().deadlineNanos();
 				if (deadline == Offer.NO_DEADLINE || deadline - now > 0) {
 					break;
 				}
-				late.add(waiting);
+				expired.add(waiting);
 			}
 		}
-		late.forEach(this::remove);
-		return late.stream().map(Waiting::ticket).toList();
+		expired.forEach(this::remove);
+		return expired.stream().map(Waiting::request).toList();
 	}
 
 	private void remove(Waiting<T> waiting) {
-		Account<T> account = this.accounts.get(waiting.ticket().account());
+		Account<T> account = this.accounts.get(waiting.request().account());
 		account.waiting.remove(waiting);
 		this.size--;
 		if (account.waiting.isEmpty()) {
 			this.accounts.remove(account.name);
-			this.turns.remove(account);
+			this.byVirtualTime.remove(account);
 		}
 	}
 
 	/**
-	 * Returns how many requests wait.
-	 * @return the size
+	 * Returns the number of waiting requests.
+	 * @return the size of the queue
 	 */
 	public int size() {
 		return this.size;
 	}
 
 	/**
-	 * Returns after which time a request sent again is likely to find room: as long as
-	 * all that waits now takes at the rate at which requests have lately ended.
-	 * @return the time, from 50 ms to a minute; a second if too few have ended lately
+	 * Returns when a refused request should be sent again: the time in which all requests
+	 * that wait now will have left the queue, at the recent rate of completions.
+	 * @return the time, from 50 ms to one minute; one second if too few requests have
+	 * ended recently
 	 */
 	public Duration retryAfter() {
-		return this.drain.time(this.size);
+		return this.completions.timeFor(this.size);
 	}
 
-	// The account's own requests go first, and others take turns with them by weight.
-	private Duration expectedWait(int own, int weight) {
-		double turns = (own + 1) / (double) weight;
-		double before = 0;
+	// Requests ahead of a new one: all of its own account, and of every other account
+	// as many as are served meanwhile by its weight.
+	private Duration expectedWait(int ownWaiting, int weight) {
+		double rounds = (ownWaiting + 1) / (double) weight;
+		double ahead = 0;
 		for (Account<T> account : this.accounts.values()) {
-			before += Math.min(account.waiting.size(), turns * account.weight);
+			ahead += Math.min(account.waiting.size(), rounds * account.weight);
 		}
-		return this.drain.time((int) Math.ceil(before));
+		return this.completions.timeFor((int) Math.ceil(ahead));
 	}
 
 	private static final class Account<T> {
@@ -233,24 +238,24 @@
 
 		private int weight;
 
-		private double turn;
+		private double virtualTime;
 
 		private Account(String name) {
 			this.name = name;
 		}
 
-		private double share() {
+		private double backlog() {
 			return this.waiting.size() / (double) this.weight;
 		}
 
 	}
 
-	private record Waiting<T>(QueuedRequest<T> ticket, long order) implements Comparable<Waiting<T>> {
+	private record Waiting<T>(QueuedRequest<T> request, long sequence) implements Comparable<Waiting<T>> {
 
 		@Override
 		public int compareTo(Waiting<T> other) {
-			int byDeadline = Long.compare(this.ticket.deadlineNanos(), other.ticket.deadlineNanos());
-			return (byDeadline != 0) ? byDeadline : Long.compare(this.order, other.order);
+			int byDeadline = Long.compare(this.request.deadlineNanos(), other.request.deadlineNanos());
+			return (byDeadline != 0) ? byDeadline : Long.compare(this.sequence, other.sequence);
 		}
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/admission/GateAction.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/GateAction.java
@@ -3,25 +3,25 @@
 import java.util.Objects;
 
 /**
- * What the sidecar has to do next.
+ * An action that a gate asks its sidecar to carry out.
  */
 public sealed interface GateAction {
 
 	/**
-	 * Returns the run that this concerns.
+	 * Returns the run to act on.
 	 * @return the run
 	 */
 	RunKey run();
 
 	/**
-	 * Pass a request on to the engine.
+	 * Send the request to the engine.
 	 *
-	 * @param run which request
+	 * @param run the run to start
 	 */
 	record Start(RunKey run) implements GateAction {
 
 		/**
-		 * Checks the run.
+		 * Checks that the run is present.
 		 */
 		public Start {
 			Objects.requireNonNull(run, "run is null");
@@ -30,15 +30,16 @@
 	}
 
 	/**
-	 * Close the engine's stream of a batch request, report {@link EngineGate#preempted}
-	 * at once, and hand the request back with what it has generated so far.
+	 * Stop a batch run: close its stream from the engine, call
+	 * {@link EngineGate#preempted} immediately, and return the request to its entry with
+	 * the output generated so far.
 	 *
-	 * @param run which request
+	 * @param run the run to cancel
 	 */
 	record Cancel(RunKey run) implements GateAction {
 
 		/**
-		 * Checks the run.
+		 * Checks that the run is present.
 		 */
 		public Cancel {
 			Objects.requireNonNull(run, "run is null");
@@ -47,15 +48,15 @@
 	}
 
 	/**
-	 * Hand a request back that was never passed on.
+	 * Return a request that was never sent to the engine.
 	 *
-	 * @param run which request
-	 * @param reason why it was not passed on
+	 * @param run the run to refuse
+	 * @param reason why it was not started
 	 */
 	record Refuse(RunKey run, Reason reason) implements GateAction {
 
 		/**
-		 * Checks the parts.
+		 * Checks that no component is null.
 		 */
 		public Refuse {
 			Objects.requireNonNull(run, "run is null");
@@ -65,20 +66,20 @@
 	}
 
 	/**
-	 * Why a request was not passed on.
+	 * Why a request was not started.
 	 */
 	enum Reason {
 
 		/** The sidecar's queue is full. */
 		QUEUE_FULL,
 
-		/** The deadline passed while the request waited. */
+		/** The deadline passed while the request was waiting. */
 		DEADLINE_PASSED,
 
-		/** The engine is taken by a suspect that must run alone. */
+		/** The engine is reserved for a request that must run alone. */
 		RESERVED_FOR_SUSPECT,
 
-		/** The sidecar is leaving. */
+		/** The sidecar is draining. */
 		DRAINING
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/admission/GatePolicy.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/GatePolicy.java
@@ -6,11 +6,11 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Which gate stands before an engine.
+ * Selects the {@link EngineGate} implementation.
  */
 public enum GatePolicy {
 
-	/** Online before batch, with preemption and a learnt limit. */
+	/** Online requests before batch requests, with preemption and an adaptive limit. */
 	PRIORITY {
 		@Override
 		public EngineGate createGate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom) {
@@ -18,7 +18,7 @@
 		}
 	},
 
-	/** Everything in the order of its arrival, queued by the engine: the baseline. */
+	/** All requests in arrival order, queued by the engine. Baseline for benchmarks. */
 	ARRIVAL_ORDER {
 		@Override
 		public EngineGate createGate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom) {
@@ -28,17 +28,18 @@
 
 	/**
 	 * Returns a new gate of this policy.
-	 * @param ticker the time
-	 * @param limit the limit of the engine, where the policy has one
-	 * @param headroom how many slots batch leaves free, where the policy has them
-	 * @param batchRoom how many batch requests the sidecar holds beside those that run;
-	 * without a limit, how many it passes on
+	 * @param ticker the monotonic clock
+	 * @param limit the concurrency limit of the engine; unused by {@link #ARRIVAL_ORDER}
+	 * @param headroom the number of slots kept free of batch requests; unused by
+	 * {@link #ARRIVAL_ORDER}
+	 * @param batchRoom the maximum number of batch requests waiting at the sidecar; for
+	 * {@link #ARRIVAL_ORDER}, at the engine
 	 * @return a gate for one engine
 	 */
 	public abstract EngineGate createGate(Ticker ticker, ConcurrencyLimit limit, int headroom, int batchRoom);
 
 	/**
-	 * Reads a policy as settings name it.
+	 * Parses the name of a policy as it is written in settings.
 	 * @param text {@code priority} or {@code arrival-order}
 	 * @return the policy
 	 * @throws IllegalArgumentException if there is no such policy
--- a/modules/core/src/main/java/org/ragworthook/core/admission/Offer.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/Offer.java
@@ -3,31 +3,32 @@
 import java.util.Objects;
 
 /**
- * A request that wants a slot at the engine.
+ * A request to be scheduled at an engine.
  *
- * @param run which attempt at which request
- * @param deadlineNanos the ticker's reading after which the request is of no use, or
+ * @param run the attempt at the request
+ * @param deadlineNanos the ticker's reading after which the result is useless, or
  * {@link #NO_DEADLINE}
- * @param exclusive whether the request is suspected of crashing engines, so that nothing
- * may run beside it
- * @param preemptible whether a batch request may be cancelled once it runs; one that may
- * run only once may not
+ * @param exclusive whether no other request may run at the same time, because this one is
+ * suspected of crashing engines
+ * @param preemptible whether a batch run may be cancelled in favour of online requests;
+ * false for requests that are not idempotent
  */
 public record Offer(RunKey run, long deadlineNanos, boolean exclusive, boolean preemptible) {
 
-	/** The deadline of a request that has none. */
+	/** Deadline of a request without one. */
 	public static final long NO_DEADLINE = Long.MAX_VALUE;
 
 	/**
-	 * Checks the run.
+	 * Checks that the run is present.
 	 */
 	public Offer {
 		Objects.requireNonNull(run, "run is null");
 	}
 
 	/**
-	 * Returns an offer without a deadline that may run beside others.
-	 * @param run which attempt at which request
+	 * Returns a preemptible offer without a deadline that may run concurrently with
+	 * others.
+	 * @param run the attempt at the request
 	 * @return the offer
 	 */
 	public static Offer of(RunKey run) {
@@ -35,25 +36,25 @@
 	}
 
 	/**
-	 * Returns the same offer with a deadline.
-	 * @param nanos the ticker's reading after which the request is of no use
-	 * @return the offer
+	 * Returns a copy with a deadline.
+	 * @param nanos the ticker's reading after which the result is useless
+	 * @return the copy
 	 */
 	public Offer withDeadline(long nanos) {
 		return new Offer(this.run, nanos, this.exclusive, this.preemptible);
 	}
 
 	/**
-	 * Returns the same offer, to be run with nothing beside it.
-	 * @return the offer
+	 * Returns a copy that must run alone.
+	 * @return the copy
 	 */
 	public Offer asExclusive() {
 		return new Offer(this.run, this.deadlineNanos, true, this.preemptible);
 	}
 
 	/**
-	 * Returns the same offer, never to be cancelled for another request.
-	 * @return the offer
+	 * Returns a copy that must not be preempted.
+	 * @return the copy
 	 */
 	public Offer notPreemptible() {
 		return new Offer(this.run, this.deadlineNanos, this.exclusive, false);
--- a/modules/core/src/main/java/org/ragworthook/core/admission/PriorityGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/PriorityGate.java
@@ -14,12 +14,13 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Runs online requests ahead of batch requests. Batch fills what online leaves, less some
- * headroom, and gives way when an online request finds no slot.
+ * Runs online requests before batch requests. Batch requests fill the slots that online
+ * requests leave free, except for a configurable headroom, and are preempted when an
+ * online request finds no free slot.
  * <p>
- * The engine itself would run requests in the order of their arrival, so a burst of batch
- * in its queue would hold up every online request behind it. The gate therefore keeps the
- * engine's queue empty and lets requests wait here, where online can overtake.
+ * The engine runs requests in arrival order, so a burst of batch requests in its queue
+ * would delay every later online request. The gate therefore keeps the engine's queue
+ * empty and queues requests here, where online requests go first.
  */
 public final class PriorityGate implements EngineGate {
 
@@ -33,24 +34,24 @@
 
 	private final int batchQueueLimit;
 
-	private final long suspectMaxWaitNanos;
+	private final long exclusiveMaxWaitNanos;
 
-	/** In the order in which they were passed on, so that the youngest are last. */
+	/** In start order, so that the most recently started are last. */
 	private final Map<RunKey, Running> running = new LinkedHashMap<>();
 
 	private final Deque<Waiting> online = new ArrayDeque<>();
 
 	private final Deque<Waiting> batch = new ArrayDeque<>();
 
-	private final Deque<Waiting> suspects = new ArrayDeque<>();
+	private final Deque<Waiting> exclusiveQueue = new ArrayDeque<>();
 
-	private Optional<Waiting> exclusive = Optional.empty();
+	private Optional<Waiting> exclusiveRun = Optional.empty();
 
 	private int batchRunning;
 
 	private int cancelling;
 
-	private boolean leaving;
+	private boolean draining;
 
 	private PriorityGate(Builder builder) {
 		this.ticker = builder.ticker;
@@ -58,13 +59,14 @@
 		this.headroom = builder.headroom;
 		this.onlineQueueLimit = builder.onlineQueueLimit;
 		this.batchQueueLimit = builder.batchQueueLimit;
-		this.suspectMaxWaitNanos = builder.suspectMaxWait.toNanos();
+		this.exclusiveMaxWaitNanos = builder.exclusiveMaxWait.toNanos();
 	}
 
 	/**
 	 * Returns a builder.
-	 * @param ticker the time
-	 * @return a builder with a learnt limit, a headroom of one and queues of 256
+	 * @param ticker the monotonic clock
+	 * @return a builder with an adaptive limit, a headroom of one slot and queues of 256
+	 * requests
 	 */
 	public static Builder builder(Ticker ticker) {
 		return new Builder(ticker);
@@ -82,23 +84,23 @@
 		return offer(offer, true, this.batch, this.batchQueueLimit);
 	}
 
-	private List<GateAction> offer(Offer offer, boolean isBatch, Deque<Waiting> queue, int bound) {
+	private List<GateAction> offer(Offer offer, boolean isBatch, Deque<Waiting> queue, int queueLimit) {
 		Objects.requireNonNull(offer, "offer is null");
-		if (this.leaving) {
-			return refused(offer, GateAction.Reason.DRAINING);
+		if (this.draining) {
+			return refusal(offer, GateAction.Reason.DRAINING);
 		}
-		if (this.exclusive.isPresent() && !isBatch && !offer.exclusive()) {
-			return refused(offer, GateAction.Reason.RESERVED_FOR_SUSPECT);
+		if (this.exclusiveRun.isPresent() && !isBatch && !offer.exclusive()) {
+			return refusal(offer, GateAction.Reason.RESERVED_FOR_SUSPECT);
 		}
-		Deque<Waiting> target = (offer.exclusive()) ? this.suspects : queue;
-		if (target.size() >= bound) {
-			return refused(offer, GateAction.Reason.QUEUE_FULL);
+		Deque<Waiting> target = (offer.exclusive()) ? this.exclusiveQueue : queue;
+		if (target.size() >= queueLimit) {
+			return refusal(offer, GateAction.Reason.QUEUE_FULL);
 		}
 		target.addLast(new Waiting(offer, isBatch, this.ticker.nanos()));
-		return scheduled();
+		return schedule();
 	}
 
-	private static List<GateAction> refused(Offer offer, GateAction.Reason reason) {
+	private static List<GateAction> refusal(Offer offer, GateAction.Reason reason) {
 		return List.of(new GateAction.Refuse(offer.run(), reason));
 	}
 
@@ -112,27 +114,27 @@
 	}
 
 	@Override
-	public List<GateAction> finished(RunKey run, RunOutcome ending, int tokens) {
+	public List<GateAction> finished(RunKey run, RunOutcome outcome, int tokens) {
 		Running entry = this.running.get(run);
 		if (entry == null) {
 			return List.of();
 		}
-		if (ending == RunOutcome.OVERLOADED) {
+		if (outcome == RunOutcome.OVERLOADED) {
 			this.limit.overloaded();
 		}
 		if (entry.firstOutputNanos != 0 && tokens > 1) {
 			this.limit.tokensGenerated(tokens - 1, this.ticker.nanos() - entry.firstOutputNanos);
 		}
-		return freed(run, entry);
+		return slotFreed(run, entry);
 	}
 
 	@Override
 	public List<GateAction> preempted(RunKey run) {
 		Running entry = this.running.get(run);
-		return (entry != null) ? freed(run, entry) : List.of();
+		return (entry != null) ? slotFreed(run, entry) : List.of();
 	}
 
-	private List<GateAction> freed(RunKey run, Running entry) {
+	private List<GateAction> slotFreed(RunKey run, Running entry) {
 		this.running.remove(run);
 		if (entry.batch) {
 			this.batchRunning--;
@@ -140,26 +142,26 @@
 		if (entry.cancelled) {
 			this.cancelling--;
 		}
-		if (this.exclusive.isPresent() && this.exclusive.get().offer().run().equals(run)) {
-			this.exclusive = Optional.empty();
+		if (this.exclusiveRun.isPresent() && this.exclusiveRun.get().offer().run().equals(run)) {
+			this.exclusiveRun = Optional.empty();
 		}
-		return scheduled();
+		return schedule();
 	}
 
 	@Override
 	public boolean withdraw(RunKey run) {
-		if (removed(this.online, run) || removed(this.batch, run) || removed(this.suspects, run)) {
+		if (removeFrom(this.online, run) || removeFrom(this.batch, run) || removeFrom(this.exclusiveQueue, run)) {
 			return true;
 		}
-		boolean held = this.exclusive.isPresent() && this.exclusive.get().offer().run().equals(run);
-		if (held && !this.running.containsKey(run)) {
-			this.exclusive = Optional.empty();
+		boolean reserved = this.exclusiveRun.isPresent() && this.exclusiveRun.get().offer().run().equals(run);
+		if (reserved && !this.running.containsKey(run)) {
+			this.exclusiveRun = Optional.empty();
 			return true;
 		}
 		return false;
 	}
 
-	private static boolean removed(Deque<Waiting> queue, RunKey run) {
+	private static boolean removeFrom(Deque<Waiting> queue, RunKey run) {
 		return queue.removeIf((waiting) -> waiting.offer().run().equals(run));
 	}
 
@@ -170,20 +172,20 @@
 
 	@Override
 	public List<GateAction> sweep() {
-		return scheduled();
+		return schedule();
 	}
 
 	@Override
 	public List<GateAction> drain() {
-		this.leaving = true;
+		this.draining = true;
 		List<GateAction> actions = new ArrayList<>();
-		for (Deque<Waiting> queue : List.of(this.online, this.batch, this.suspects)) {
-			queue.forEach((waiting) -> actions.addAll(refused(waiting.offer(), GateAction.Reason.DRAINING)));
+		for (Deque<Waiting> queue : List.of(this.online, this.batch, this.exclusiveQueue)) {
+			queue.forEach((waiting) -> actions.addAll(refusal(waiting.offer(), GateAction.Reason.DRAINING)));
 			queue.clear();
 		}
-		if (this.exclusive.isPresent() && this.running.get(this.exclusive.get().offer().run()) == null) {
-			actions.addAll(refused(this.exclusive.get().offer(), GateAction.Reason.DRAINING));
-			this.exclusive = Optional.empty();
+		if (this.exclusiveRun.isPresent() && this.running.get(this.exclusiveRun.get().offer().run()) == null) {
+			actions.addAll(refusal(this.exclusiveRun.get().offer(), GateAction.Reason.DRAINING));
+			this.exclusiveRun = Optional.empty();
 		}
 		cancelYoungest(this.batchRunning - this.cancelling, actions);
 		return actions;
@@ -191,16 +193,16 @@
 
 	// -- decisions
 
-	private List<GateAction> scheduled() {
+	private List<GateAction> schedule() {
 		List<GateAction> actions = new ArrayList<>(2);
 		long now = this.ticker.nanos();
-		dropExpired(this.online, now, actions);
-		dropExpired(this.suspects, now, actions);
-		if (this.exclusive.isEmpty() && suspectIsDue(now)) {
-			this.exclusive = Optional.of(this.suspects.removeFirst());
+		refuseExpired(this.online, now, actions);
+		refuseExpired(this.exclusiveQueue, now, actions);
+		if (this.exclusiveRun.isEmpty() && exclusiveIsDue(now)) {
+			this.exclusiveRun = Optional.of(this.exclusiveQueue.removeFirst());
 		}
-		if (this.exclusive.isPresent()) {
-			runAlone(this.exclusive.get(), actions);
+		if (this.exclusiveRun.isPresent()) {
+			runExclusively(this.exclusiveRun.get(), actions);
 			return actions;
 		}
 		while (!this.online.isEmpty() && this.running.size() < this.limit.value()) {
@@ -221,7 +223,7 @@
 		while (!this.batch.isEmpty() && this.running.size() < slots) {
 			Waiting next = this.batch.removeFirst();
 			if (next.offer().expired(now)) {
-				actions.addAll(refused(next.offer(), GateAction.Reason.DEADLINE_PASSED));
+				actions.addAll(refusal(next.offer(), GateAction.Reason.DEADLINE_PASSED));
 			}
 			else {
 				start(next, actions);
@@ -232,39 +234,39 @@
 		}
 	}
 
-	private boolean suspectIsDue(long now) {
-		Waiting head = this.suspects.peekFirst();
+	private boolean exclusiveIsDue(long now) {
+		Waiting head = this.exclusiveQueue.peekFirst();
 		if (head == null) {
 			return false;
 		}
 		boolean free = this.online.isEmpty() && this.running.size() == this.batchRunning;
-		// Under constant load the engine is never free; without the patience a suspect
-		// would wait until its deadline although it may well be innocent.
-		return free || now - head.sinceNanos() >= this.suspectMaxWaitNanos;
+		// Under constant load the engine is never free. Without a maximum wait, a
+		// suspected request would wait until its deadline although it may be harmless.
+		return free || now - head.sinceNanos() >= this.exclusiveMaxWaitNanos;
 	}
 
-	private void runAlone(Waiting suspect, List<GateAction> actions) {
-		if (this.running.containsKey(suspect.offer().run())) {
+	private void runExclusively(Waiting request, List<GateAction> actions) {
+		if (this.running.containsKey(request.offer().run())) {
 			return;
 		}
 		this.online
-			.forEach((waiting) -> actions.addAll(refused(waiting.offer(), GateAction.Reason.RESERVED_FOR_SUSPECT)));
+			.forEach((waiting) -> actions.addAll(refusal(waiting.offer(), GateAction.Reason.RESERVED_FOR_SUSPECT)));
 		this.online.clear();
 		if (this.running.isEmpty()) {
-			start(suspect, actions);
+			start(request, actions);
 		}
 		else {
 			cancelYoungest(this.batchRunning - this.cancelling, actions);
 		}
 	}
 
-	private static void dropExpired(Deque<Waiting> queue, long now, List<GateAction> actions) {
-		Iterator<Waiting> each = queue.iterator();
-		while (each.hasNext()) {
-			Offer offer = each.next().offer();
+	private static void refuseExpired(Deque<Waiting> queue, long now, List<GateAction> actions) {
+		Iterator<Waiting> iterator = queue.iterator();
+		while (iterator.hasNext()) {
+			Offer offer = iterator.next().offer();
 			if (offer.expired(now)) {
-				each.remove();
-				actions.addAll(refused(offer, GateAction.Reason.DEADLINE_PASSED));
+				iterator.remove();
+				actions.addAll(refusal(offer, GateAction.Reason.DEADLINE_PASSED));
 			}
 		}
 	}
@@ -278,8 +280,8 @@
 		actions.add(new GateAction.Start(run));
 	}
 
-	// Cancels the batch runs that were passed on last: they lose the least work, and the
-	// oldest come to an end however often online bursts.
+	// Cancels the most recently started batch runs: they lose the least work, and the
+	// oldest ones complete even if online bursts are frequent.
 	private void cancelYoungest(int count, List<GateAction> actions) {
 		if (count <= 0) {
 			return;
@@ -300,12 +302,12 @@
 
 	@Override
 	public GateLoad load() {
-		int room = (this.leaving) ? 0 : Math.max(0, this.batchQueueLimit - this.batch.size());
-		int held = (this.exclusive.isPresent() && !this.running.containsKey(this.exclusive.get().offer().run())) ? 1
-				: 0;
+		int batchRoom = (this.draining) ? 0 : Math.max(0, this.batchQueueLimit - this.batch.size());
+		int reserved = (this.exclusiveRun.isPresent()
+				&& !this.running.containsKey(this.exclusiveRun.get().offer().run())) ? 1 : 0;
 		return new GateLoad(this.running.size() - this.batchRunning, this.batchRunning,
-				this.online.size() + this.suspects.size() + held, this.batch.size(),
-				this.exclusive.isPresent() ? 0 : this.limit.value(), room);
+				this.online.size() + this.exclusiveQueue.size() + reserved, this.batch.size(),
+				this.exclusiveRun.isPresent() ? 0 : this.limit.value(), batchRoom);
 	}
 
 	private record Waiting(Offer offer, boolean batch, long sinceNanos) {
@@ -332,7 +334,7 @@
 	}
 
 	/**
-	 * Builds gates.
+	 * Builds a {@link PriorityGate}.
 	 */
 	public static final class Builder {
 
@@ -346,15 +348,15 @@
 
 		private int batchQueueLimit = 256;
 
-		private Duration suspectMaxWait = Duration.ofMillis(500);
+		private Duration exclusiveMaxWait = Duration.ofMillis(500);
 
 		private Builder(Ticker ticker) {
 			this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		}
 
 		/**
-		 * Sets the limit of the engine.
-		 * @param engineLimit the limit, which the gate feeds with what it observes
+		 * Sets the concurrency limit of the engine.
+		 * @param engineLimit the limit, to which the gate reports its observations
 		 * @return this builder
 		 */
 		public Builder limit(ConcurrencyLimit engineLimit) {
@@ -363,7 +365,8 @@
 		}
 
 		/**
-		 * Sets how many slots batch leaves free for the next online requests.
+		 * Sets the number of slots that batch requests leave free for the next online
+		 * requests.
 		 * @param slots the number of slots, not negative
 		 * @return this builder
 		 */
@@ -373,9 +376,9 @@
 		}
 
 		/**
-		 * Sets how many requests may wait.
-		 * @param onlineRequests how many online requests
-		 * @param batchRequests how many batch requests
+		 * Sets the maximum queue lengths.
+		 * @param onlineRequests the maximum number of waiting online requests
+		 * @param batchRequests the maximum number of waiting batch requests
 		 * @return this builder
 		 */
 		public Builder queueLimits(int onlineRequests, int batchRequests) {
@@ -385,13 +388,13 @@
 		}
 
 		/**
-		 * Sets how long a suspect waits for a free engine before the engine is drained
-		 * for it.
-		 * @param patience how long
+		 * Sets how long an exclusive request waits for an idle engine before the engine
+		 * is drained for it.
+		 * @param maxWait the maximum time to wait
 		 * @return this builder
 		 */
-		public Builder suspectMaxWait(Duration patience) {
-			this.suspectMaxWait = Objects.requireNonNull(patience, "patience is null");
+		public Builder exclusiveMaxWait(Duration maxWait) {
+			this.exclusiveMaxWait = Objects.requireNonNull(maxWait, "maxWait is null");
 			return this;
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/admission/QueuedRequest.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/QueuedRequest.java
@@ -3,19 +3,19 @@
 import java.util.Objects;
 
 /**
- * A request that waits in a fair queue.
+ * A request for a {@link FairQueue}.
  *
- * @param account whose request it is
- * @param weight the account's share against others, at least one
- * @param deadlineNanos the ticker's reading after which the request is of no use, or
+ * @param account the account that sent the request
+ * @param weight the weight of the account relative to others, at least one
+ * @param deadlineNanos the ticker's reading after which the result is useless, or
  * {@link Offer#NO_DEADLINE}
- * @param item what waits
- * @param <T> the type of what waits
+ * @param item the queued item
+ * @param <T> the type of the queued item
  */
 public record QueuedRequest<T>(String account, int weight, long deadlineNanos, T item) {
 
 	/**
-	 * Checks the parts.
+	 * Checks the components.
 	 */
 	public QueuedRequest {
 		Objects.requireNonNull(account, "account is null");
--- a/modules/core/src/main/java/org/ragworthook/core/admission/RunKey.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/RunKey.java
@@ -3,25 +3,25 @@
 import java.util.Objects;
 
 /**
- * Names one attempt at a request.
+ * Identifies one attempt at a request.
  *
- * @param request the request, unique over all entries
- * @param attempt which attempt at it
+ * @param request the request id, unique across all entries
+ * @param attempt the number of the attempt
  */
 public record RunKey(String request, int attempt) {
 
 	/**
-	 * Checks the request.
+	 * Checks that the request id is present.
 	 */
 	public RunKey {
 		Objects.requireNonNull(request, "request is null");
 	}
 
 	/**
-	 * Returns the name of an attempt.
-	 * @param request the request, unique over all entries
-	 * @param attempt which attempt at it
-	 * @return the name
+	 * Returns the key of an attempt.
+	 * @param request the request id, unique across all entries
+	 * @param attempt the number of the attempt
+	 * @return the key
 	 */
 	public static RunKey of(String request, int attempt) {
 		return new RunKey(request, attempt);
--- a/modules/core/src/main/java/org/ragworthook/core/admission/RunOutcome.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/RunOutcome.java
@@ -1,20 +1,20 @@
 package org.ragworthook.core.admission;
 
 /**
- * How a run at the engine ended, as far as the gate learns from it.
+ * How a run at the engine ended, as reported to its gate.
  */
 public enum RunOutcome {
 
-	/** The engine answered. */
+	/** The engine answered the request. */
 	ANSWERED,
 
-	/** The engine refused the request because it has too much to do. */
+	/** The engine rejected the request because it is overloaded. */
 	OVERLOADED,
 
-	/** The engine was lost, or broke off its answer. */
+	/** The connection to the engine failed, or the engine ended its answer early. */
 	FAILED,
 
-	/** The run was cancelled because its caller no longer wants it. */
+	/** The run was cancelled because the caller gave up. */
 	CANCELLED
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/admission/TokenBucket.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/TokenBucket.java
@@ -7,30 +7,31 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * A token bucket that holds one second's worth, kept as the time at which it would be
- * full again, so that one atomic number is all its state.
+ * Token bucket with a capacity of one second's tokens. The whole state is the time at
+ * which the bucket would be full again, so that a single atomic long suffices.
+ * Thread-safe.
  */
 public final class TokenBucket {
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
-	private static final long BURST_NANOS = (long) NANOS;
+	private static final long CAPACITY_NANOS = (long) NANOS_PER_SECOND;
 
 	private final Ticker ticker;
 
-	private final AtomicLong fullAt;
+	private final AtomicLong fullAtNanos;
 
-	/** Nanoseconds that one unit takes to come back; zero for no limit. */
-	private volatile double unitNanos;
+	/** Nanoseconds in which one token is refilled; zero for no limit. */
+	private volatile double refillNanos;
 
 	private TokenBucket(Ticker ticker) {
 		this.ticker = ticker;
-		this.fullAt = new AtomicLong(ticker.nanos());
+		this.fullAtNanos = new AtomicLong(ticker.nanos());
 	}
 
 	/**
 	 * Returns a bucket without a limit.
-	 * @param ticker the time
+	 * @param ticker the monotonic clock
 	 * @return a new bucket
 	 */
 	public static TokenBucket of(Ticker ticker) {
@@ -38,29 +39,29 @@
 	}
 
 	/**
-	 * Sets the rate.
-	 * @param perSecond units a second, or zero for no limit
+	 * Sets the refill rate.
+	 * @param perSecond tokens per second, or zero for no limit
 	 */
 	public void setRate(double perSecond) {
-		this.unitNanos = (perSecond > 0) ? NANOS / perSecond : 0;
+		this.refillNanos = (perSecond > 0) ? NANOS_PER_SECOND / perSecond : 0;
 	}
 
 	/**
-	 * Takes one unit if there is one.
-	 * @return zero if it was taken, else after which time there is one
+	 * Takes one token if one is available.
+	 * @return zero if a token was taken, else the time until one is available
 	 */
 	public Duration tryTake() {
-		long unit = (long) this.unitNanos;
-		while (unit > 0) {
+		long refill = (long) this.refillNanos;
+		while (refill > 0) {
 			long now = this.ticker.nanos();
-			long seen = this.fullAt.get();
-			long next = Math.max(seen - now, 0) + unit;
-			// A rate below one a second still lets a single unit through.
-			long over = next - Math.max(BURST_NANOS, unit);
-			if (over > 0) {
-				return Duration.ofNanos(over);
+			long current = this.fullAtNanos.get();
+			long next = Math.max(current - now, 0) + refill;
+			// At a rate below one per second the capacity is one token.
+			long missing = next - Math.max(CAPACITY_NANOS, refill);
+			if (missing > 0) {
+				return Duration.ofNanos(missing);
 			}
-			if (this.fullAt.compareAndSet(seen, now + next)) {
+			if (this.fullAtNanos.compareAndSet(current, now + next)) {
 				return Duration.ZERO;
 			}
 		}
@@ -68,27 +69,28 @@
 	}
 
 	/**
-	 * Takes units even if there are not as many.
-	 * @param units how many
+	 * Takes tokens even if fewer are available; the bucket then stays empty until the
+	 * difference has been refilled.
+	 * @param tokens the number of tokens
 	 */
-	public void charge(int units) {
-		long cost = (long) (units * this.unitNanos);
+	public void charge(int tokens) {
+		long cost = (long) (tokens * this.refillNanos);
 		if (cost > 0) {
 			long now = this.ticker.nanos();
-			this.fullAt.updateAndGet((seen) -> now + Math.max(seen - now, 0) + cost);
+			this.fullAtNanos.updateAndGet((current) -> now + Math.max(current - now, 0) + cost);
 		}
 	}
 
 	/**
 	 * Returns how long the bucket stays empty.
-	 * @return zero if there is a unit in it
+	 * @return the time, or zero if a token is available
 	 */
 	public Duration timeUntilAvailable() {
-		if (this.unitNanos == 0) {
+		if (this.refillNanos == 0) {
 			return Duration.ZERO;
 		}
-		long over = this.fullAt.get() - this.ticker.nanos() - BURST_NANOS;
-		return (over > 0) ? Duration.ofNanos(over) : Duration.ZERO;
+		long missing = this.fullAtNanos.get() - this.ticker.nanos() - CAPACITY_NANOS;
+		return (missing > 0) ? Duration.ofNanos(missing) : Duration.ZERO;
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/admission/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Decides what may run and in which order: the limit and the priorities in front of one
- * engine, the limits of an account, and the fair queue of an entry. Each part is a plain
- * object that takes events and returns what to do; none of them reads a clock of its own.
+ * Admission control: scheduling with priorities in front of one engine, rate and
+ * concurrency limits per account, and the fair queue of an entry. Each class is a plain
+ * state machine that takes events and returns actions; the time is passed in as a
+ * {@link org.ragworthook.core.time.Ticker}.
  */
 package org.ragworthook.core.admission;
--- a/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateConcurrencyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateConcurrencyTests.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests of one account come and end on several threads at once. A gate whose steps
- * interleave badly would refuse a request although there is room, or let in one too many.
+ * Model-checks {@link AccountGate} for requests of one account that start and end on
+ * several threads. A race between admission and release would refuse a request below the
+ * limit or admit one above it.
  */
 public class AccountGateConcurrencyTests {
 
--- a/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/AccountGateTests.java
@@ -20,7 +20,7 @@
 	private final AccountGate gate = AccountGate.of(this.time);
 
 	@Test
-	void shouldLetEverythingInWithoutLimits() {
+	void shouldAdmitEverythingWithoutLimits() {
 		for (int i = 0; i < 10_000; i++) {
 			assertThat(this.gate.admit()).isEqualTo(Optional.empty());
 		}
@@ -28,7 +28,7 @@
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.5, 1, 7, 200 })
-	void shouldHoldRate(double rate) {
+	void shouldEnforceRate(double rate) {
 		this.gate.setLimits(rate, 0, 0);
 		int seconds = 60;
 		int admitted = 0;
@@ -40,12 +40,12 @@
 	}
 
 	/**
-	 * A caller over its rate does what the answer says and comes back after the time in
-	 * it. If that time were a guess, it would be refused again.
+	 * A refused caller comes back after the stated time. If that time were too short, the
+	 * caller would be refused again.
 	 */
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.5, 3, 40 })
-	void shouldLetInAfterStatedTime(double rate) {
+	void shouldAdmitAfterStatedRetryTime(double rate) {
 		this.gate.setLimits(rate, 0, 0);
 		Optional<AccountGate.Refusal> refusal = this.gate.admit();
 		while (refusal.isEmpty()) {
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void shouldHoldRequestsInFlight() {
+	void shouldLimitRequestsInFlight() {
 		this.gate.setLimits(0, 2, 0);
 		this.gate.admit();
 		this.gate.admit();
@@ -70,7 +70,7 @@
 	}
 
 	@Test
-	void shouldMakeAccountWaitForTokensUsedBeyondLimit() {
+	void shouldRefuseUntilExcessTokensAreRefilled() {
 		this.gate.setLimits(0, 0, 100);
 		this.gate.admit();
 		this.gate.release(500);
--- a/modules/core/src/test/java/org/ragworthook/core/admission/ConcurrencyLimitTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/ConcurrencyLimitTests.java
@@ -13,7 +13,7 @@
  */
 class ConcurrencyLimitTests {
 
-	private static final long FIRST = Duration.ofMillis(40).toNanos();
+	private static final long FIRST_OUTPUT_NANOS = Duration.ofMillis(40).toNanos();
 
 	private static void window(ConcurrencyLimit limit, long nanos) {
 		for (int i = 0; i < 16; i++) {
@@ -23,20 +23,19 @@
 	}
 
 	/**
-	 * The engine runs a certain number of requests at once and queues the rest in arrival
-	 * order. The limit starts far from that number, and callers would wait in the
-	 * engine's queue behind batch, or slots would stay empty.
+	 * The limit starts far from the engine's real capacity. If it does not converge,
+	 * requests wait in the engine's queue behind batch requests, or slots stay empty.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "4, 8", "4, 256", "16, 8", "16, 256", "64, 8", "64, 256" })
-	void shouldFindCapacityOfEngine(int capacity, int initial) {
+	void shouldConvergeToEngineCapacity(int capacity, int initial) {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().bounds(2, 256).initial(initial).build();
 		long highest = 0;
 		long sum = 0;
 		for (int i = 0; i < 6_000; i++) {
 			int over = Math.max(0, limit.value() - capacity);
 			limit.limitReached();
-			limit.firstOutput(FIRST + over * FIRST * 10 / capacity);
+			limit.firstOutput(FIRST_OUTPUT_NANOS + over * FIRST_OUTPUT_NANOS * 10 / capacity);
 			if (i >= 5_000) {
 				highest = Math.max(highest, limit.value());
 				sum += limit.value();
@@ -47,23 +46,24 @@
 	}
 
 	/**
-	 * Under constant batch each request takes the place of one that has just ended and
-	 * waits for a whole step of the engine, twice as long as on the idle engine of the
-	 * night. Taken for a queue this would keep half of the slots empty while batch waits.
+	 * Under constant batch load each request takes the slot of one that has just ended
+	 * and waits for a whole engine step, so its first output is much slower than the
+	 * baseline of the idle engine. Mistaking this for a queue would keep half of the
+	 * slots empty.
 	 */
 	@Test
-	void shouldRiseWhileTheEngineReportsNoQueue() {
+	void shouldRiseWhileEngineReportsNoQueue() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().bounds(2, 16).initial(8).build();
-		window(limit, FIRST / 8);
+		window(limit, FIRST_OUTPUT_NANOS / 8);
 		for (int i = 0; i < 20; i++) {
 			limit.queueReported((i % 3 == 0) ? 1 : 0);
-			window(limit, FIRST);
+			window(limit, FIRST_OUTPUT_NANOS);
 		}
 		assertThat(limit.value()).isEqualTo(16);
 	}
 
 	@Test
-	void shouldFallWhenTwoReportsInARowShowAQueue() {
+	void shouldFallAfterTwoReportsOfQueue() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(100).build();
 		limit.queueReported(1);
 		assertThat(limit.value()).isEqualTo(100);
@@ -72,44 +72,45 @@
 	}
 
 	/**
-	 * The engine stops to report. Its last word, that there is no queue, must not hold
-	 * for ever, or callers would wait behind batch in a queue that nobody sees.
+	 * The engine stops sending load reports. If its last report of an empty queue stayed
+	 * valid forever, online requests would wait behind batch requests in a queue that is
+	 * never detected.
 	 */
 	@Test
-	void shouldGoByFirstOutputsAgainWhenReportsStop() {
+	void shouldUseFirstOutputsWhenReportsStop() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(100).build();
-		window(limit, FIRST / 8);
+		window(limit, FIRST_OUTPUT_NANOS / 8);
 		limit.queueReported(0);
 		for (int i = 0; i < 12; i++) {
-			window(limit, FIRST);
+			window(limit, FIRST_OUTPUT_NANOS);
 		}
 		assertThat(limit.value()).isLessThan(100);
 	}
 
 	@Test
-	void shouldNotRiseWhileUnused() {
+	void shouldNotRiseWhileLimitIsNotReached() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(8).build();
 		for (int i = 0; i < 160; i++) {
-			limit.firstOutput(FIRST);
+			limit.firstOutput(FIRST_OUTPUT_NANOS);
 		}
 		assertThat(limit.value()).isEqualTo(8);
 	}
 
 	@Test
-	void shouldIgnoreSomeLongPrompts() {
+	void shouldIgnoreSlowFirstOutputsOfLongPrompts() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(8).build();
-		window(limit, FIRST);
+		window(limit, FIRST_OUTPUT_NANOS);
 		for (int i = 0; i < 32; i++) {
 			limit.limitReached();
-			limit.firstOutput((i % 4 == 0) ? FIRST : FIRST * 20);
+			limit.firstOutput((i % 4 == 0) ? FIRST_OUTPUT_NANOS : FIRST_OUTPUT_NANOS * 20);
 		}
 		assertThat(limit.value()).isGreaterThan(8);
 	}
 
 	@Test
-	void shouldFallOnceForOneQueue() {
+	void shouldFallOncePerWindow() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(100).build();
-		window(limit, FIRST);
+		window(limit, FIRST_OUTPUT_NANOS);
 		int before = limit.value();
 		for (int i = 0; i < 10; i++) {
 			limit.overloaded();
@@ -118,15 +119,14 @@
 	}
 
 	/**
-	 * A sidecar starts beside an engine with twice the slots that it first takes it to
-	 * have. Grown by one at a time the limit would leave half the engine idle for as long
-	 * as a burst of batch lasts.
+	 * The engine has twice the initial limit of slots. Raised by one at a time, the limit
+	 * would leave half the engine idle for the duration of a burst of batch requests.
 	 */
 	@Test
-	void shouldDoubleWithinSixWindowsAfterTheStart() {
+	void shouldDoubleWithinSixWindowsAfterStart() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(8).build();
 		for (int i = 0; i < 6; i++) {
-			window(limit, FIRST);
+			window(limit, FIRST_OUTPUT_NANOS);
 		}
 		assertThat(limit.value()).isAtLeast(16);
 	}
@@ -134,9 +134,9 @@
 	@Test
 	void shouldFallWhenTokensAreSlow() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().initial(20).tokenTarget(Duration.ofMillis(34)).build();
-		window(limit, FIRST);
+		window(limit, FIRST_OUTPUT_NANOS);
 		limit.tokensGenerated(100, Duration.ofMillis(5_000).toNanos());
-		window(limit, FIRST);
+		window(limit, FIRST_OUTPUT_NANOS);
 		assertThat(limit.value()).isLessThan(20);
 	}
 
@@ -144,7 +144,7 @@
 	void shouldStayWithinBounds() {
 		ConcurrencyLimit limit = ConcurrencyLimit.builder().bounds(3, 5).initial(4).build();
 		for (int i = 0; i < 20; i++) {
-			window(limit, FIRST);
+			window(limit, FIRST_OUTPUT_NANOS);
 		}
 		assertThat(limit.value()).isEqualTo(5);
 		for (int i = 0; i < 400; i++) {
--- a/modules/core/src/test/java/org/ragworthook/core/admission/FairQueueTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/FairQueueTests.java
@@ -26,7 +26,7 @@
 
 	private int number;
 
-	private static QueuedRequest<String> ticket(String account, int weight, String item) {
+	private static QueuedRequest<String> request(String account, int weight, String item) {
 		return new QueuedRequest<>(account, weight, Offer.NO_DEADLINE, item);
 	}
 
@@ -36,13 +36,13 @@
 
 	private void fill(FairQueue<String> target, String account, int weight, int count) {
 		for (int i = 0; i < count; i++) {
-			target.offer(ticket(account, weight, account + this.number++));
+			target.offer(request(account, weight, account + this.number++));
 		}
 	}
 
 	/**
-	 * One account sends far more than the others. Served in the order of arrival, the
-	 * others would wait behind all of it.
+	 * One account sends far more requests than the other. Served in arrival order, the
+	 * other account's requests would wait behind all of them.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 1, 10", "1, 3, 15", "4, 1, 4" })
@@ -57,7 +57,7 @@
 	}
 
 	@Test
-	void shouldServeMostUrgentOfAccountFirst() {
+	void shouldServeEarliestDeadlineOfAccountFirst() {
 		this.queue.offer(due("a", 900));
 		QueuedRequest<String> urgent = due("a", 300);
 		this.queue.offer(urgent);
@@ -65,51 +65,52 @@
 	}
 
 	/**
-	 * The queue is full of requests that can wait when an urgent one comes. It must not
-	 * be turned away for their sake.
+	 * An urgent request arrives while the queue is full of requests with later deadlines.
+	 * It must not be refused in their favour.
 	 */
 	@Test
-	void shouldShedLeastUrgent() {
+	void shouldShedLatestDeadline() {
 		FairQueue<String> small = FairQueue.of(this.time, 2);
-		QueuedRequest<String> patient = due("a", 9_000);
+		QueuedRequest<String> latest = due("a", 9_000);
 		small.offer(due("a", 500));
-		small.offer(patient);
-		EnqueueResult<String> placing = small.offer(due("b", 600));
-		assertThat(((EnqueueResult.Queued<String>) placing).shed()).isEqualTo(Optional.of(patient));
+		small.offer(latest);
+		EnqueueResult<String> result = small.offer(due("b", 600));
+		assertThat(((EnqueueResult.Queued<String>) result).shed()).isEqualTo(Optional.of(latest));
 		assertThat(small.offer(due("c", 9_000))).isInstanceOf(EnqueueResult.Refused.class);
 		assertThat(small.size()).isEqualTo(2);
 	}
 
 	/**
-	 * A caller marks all its requests as urgent to get ahead. It must not push out the
-	 * few requests of another account.
+	 * One account gives all its requests early deadlines. They must not displace the few
+	 * requests of another account.
 	 */
 	@Test
-	void shouldNotShedAccountThatHasLess() {
+	void shouldNotShedAccountWithSmallerBacklog() {
 		FairQueue<String> small = FairQueue.of(this.time, 4);
-		small.offer(ticket("modest", 1, "only"));
+		small.offer(request("modest", 1, "only"));
 		for (int i = 0; i < 50; i++) {
 			small.offer(due("greedy", 1_000 - i));
 		}
-		List<String> firstTurns = List.of(small.poll().orElseThrow().item(), small.poll().orElseThrow().item());
-		assertThat(firstTurns).contains("only");
+		List<String> firstServed = List.of(small.poll().orElseThrow().item(), small.poll().orElseThrow().item());
+		assertThat(firstServed).contains("only");
 	}
 
 	@Test
-	void shouldMakeRoomForAccountThatHasLess() {
+	void shouldShedLargerBacklogForSmallerOne() {
 		FairQueue<String> small = FairQueue.of(this.time, 4);
 		fill(small, "greedy", 1, 4);
-		EnqueueResult<String> placing = small.offer(ticket("modest", 1, "only"));
-		assertThat(((EnqueueResult.Queued<String>) placing).shed().orElseThrow().account()).isEqualTo("greedy");
+		EnqueueResult<String> result = small.offer(request("modest", 1, "only"));
+		assertThat(((EnqueueResult.Queued<String>) result).shed().orElseThrow().account()).isEqualTo("greedy");
 	}
 
 	/**
-	 * Requests leave the queue at a steady rate. The time a refused caller is told must
-	 * be what the queue really takes, else it comes back too early, again and again.
+	 * Requests end at a constant rate. If the retry time were shorter than the time in
+	 * which the queue empties, refused callers would come back too early and be refused
+	 * again.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 2, 20, 200 })
-	void shouldTellHonestRetryAfter(int perSecond) {
+	void shouldEstimateRetryAfterFromCompletionRate(int perSecond) {
 		Duration gap = Duration.ofNanos(1_000_000_000L / perSecond);
 		for (int i = 0; i < perSecond * 10; i++) {
 			this.queue.requestEnded();
@@ -121,28 +122,28 @@
 	}
 
 	/**
-	 * A caller allows two seconds, and the queue takes ten. Told at once, it can go
-	 * elsewhere; told after two seconds, it cannot.
+	 * A caller's deadline is two seconds, but the queue takes ten. Refused immediately,
+	 * the caller still has time to go elsewhere.
 	 */
 	@Test
-	void shouldRefuseEarlyWhatCannotBeInTime() {
+	void shouldRefuseRequestThatCannotMeetDeadline() {
 		for (int i = 0; i < 20; i++) {
 			this.queue.requestEnded();
 			this.time.advance(Duration.ofMillis(500));
 		}
 		fill(this.queue, "a", 1, 20);
-		EnqueueResult<String> placing = this.queue.offer(due("a", 2_000));
-		assertThat(((EnqueueResult.Refused<String>) placing).reason())
+		EnqueueResult<String> result = this.queue.offer(due("a", 2_000));
+		assertThat(((EnqueueResult.Refused<String>) result).reason())
 			.isEqualTo(EnqueueResult.Reason.DEADLINE_UNREACHABLE);
 		assertThat(this.queue.offer(due("b", 2_000))).isInstanceOf(EnqueueResult.Queued.class);
 	}
 
 	/**
-	 * Nothing had to wait for a long time, and then a burst comes. How fast requests end
-	 * is not known, so none may be refused on a guess.
+	 * A burst arrives after a long idle time. The completion rate is unknown, so no
+	 * request may be refused because of an estimate.
 	 */
 	@Test
-	void shouldNotRefuseOnGuess() {
+	void shouldNotRefuseWhileRateIsUnknown() {
 		for (int i = 0; i < 20; i++) {
 			this.queue.requestEnded();
 		}
@@ -153,18 +154,18 @@
 	}
 
 	@Test
-	void shouldGiveUpExpired() {
-		QueuedRequest<String> late = due("a", 100);
-		this.queue.offer(late);
+	void shouldRemoveExpired() {
+		QueuedRequest<String> expired = due("a", 100);
+		this.queue.offer(expired);
 		this.queue.offer(due("a", 500));
 		this.time.advance(Duration.ofMillis(100));
-		assertThat(this.queue.removeExpired()).containsExactly(late);
+		assertThat(this.queue.removeExpired()).containsExactly(expired);
 		assertThat(this.queue.size()).isEqualTo(1);
 	}
 
 	@Test
-	void shouldForgetWithdrawn() {
-		this.queue.offer(ticket("a", 1, "gone"));
+	void shouldRemoveWithdrawn() {
+		this.queue.offer(request("a", 1, "gone"));
 		assertThat(this.queue.withdraw("gone")).isTrue();
 		assertThat(this.queue.withdraw("gone")).isFalse();
 		assertThat(this.queue.poll()).isEqualTo(Optional.empty());
--- a/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGatePropertyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGatePropertyTests.java
@@ -15,20 +15,21 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What holds of {@link PriorityGate} after every event, in whatever order they come.
+ * Checks the invariants of {@link PriorityGate} after every event of random event
+ * sequences.
  */
 class PriorityGatePropertyTests {
 
 	@Property(tries = 300, seed = "4711")
-	void shouldKeepItsPromises(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int limit,
+	void shouldKeepInvariants(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int limit,
 			@ForAll @IntRange(min = 0, max = 2) int headroom) {
-		new Play(limit, headroom).run(new Random(seed));
+		new Simulation(limit, headroom).run(new Random(seed));
 	}
 
 	/**
-	 * One random run of events, with what a sidecar would know of it.
+	 * One random sequence of events, with the state that a sidecar would track.
 	 */
-	private static final class Play {
+	private static final class Simulation {
 
 		private final ManualTime time = ManualTime.of();
 
@@ -46,7 +47,7 @@
 
 		private final EngineGate gate;
 
-		private Play(int limit, int headroom) {
+		private Simulation(int limit, int headroom) {
 			this.limit = limit;
 			this.gate = PriorityGate.builder(this.time)
 				.limit(ConcurrencyLimit.fixed(limit))
@@ -122,8 +123,8 @@
 			if (this.running.stream().anyMatch(this.suspects::contains)) {
 				assertThat(this.running).hasSize(1);
 			}
-			boolean onlyInnocent = this.suspects.stream().allMatch(this.ended::contains);
-			if (load.onlineQueued() > 0 && onlyInnocent) {
+			boolean allSuspectsEnded = this.suspects.stream().allMatch(this.ended::contains);
+			if (load.onlineQueued() > 0 && allSuspectsEnded) {
 				assertThat(this.running).hasSize(this.limit);
 				assertThat(this.cancelled.size()).isAtLeast(Math.min(load.onlineQueued(), load.batchRunning()));
 			}
--- a/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGateTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/admission/PriorityGateTests.java
@@ -60,8 +60,8 @@
 	}
 
 	/**
-	 * The engine is full of batch when an online request arrives. If batch did not give
-	 * way, the caller would wait for a batch item to end, many seconds.
+	 * All slots run batch requests when an online request arrives. Without preemption the
+	 * caller would wait many seconds for a batch request to end.
 	 */
 	@Test
 	void shouldCancelYoungestBatchForOnlineArrival() {
@@ -86,11 +86,11 @@
 	}
 
 	/**
-	 * A batch item that may run only once is at the engine. Cancelled, it could not be
-	 * run again, and nobody would know what became of it.
+	 * A batch request that is not idempotent is running. Once cancelled it could not be
+	 * run again, and its outcome would be unknown.
 	 */
 	@Test
-	void shouldNotCancelBatchThatMayRunOnlyOnce() {
+	void shouldNotCancelBatchThatIsNotIdempotent() {
 		PriorityGate gate = gate(2, 0).build();
 		gate.offerBatch(offer("repeatable"));
 		gate.offerBatch(offer("once").notPreemptible());
@@ -119,7 +119,7 @@
 	}
 
 	@Test
-	void shouldTellRoomForBatch() {
+	void shouldReportRoomForBatch() {
 		PriorityGate gate = gate(1, 0).build();
 		gate.offerBatch(offer("running"));
 		gate.offerBatch(offer("waiting"));
@@ -127,8 +127,8 @@
 	}
 
 	/**
-	 * A request waits longer than its caller is willing to. Running it would take a slot
-	 * for an answer that nobody reads.
+	 * The deadline of a waiting request passes. Running it would use a slot for an answer
+	 * that nobody reads.
 	 */
 	@Test
 	void shouldRefuseWaitingRequestWhoseDeadlinePassed() {
@@ -140,10 +140,11 @@
 	}
 
 	/**
-	 * A caller hangs up while the request waits. The slot must go to the next one.
+	 * The caller of a waiting request disconnects. The next free slot must go to the
+	 * request behind it.
 	 */
 	@Test
-	void shouldForgetWithdrawnRequest() {
+	void shouldRemoveWithdrawnRequest() {
 		PriorityGate gate = gate(1, 0).build();
 		gate.offerOnline(offer("running"));
 		gate.offerOnline(offer("gone"));
@@ -154,11 +155,11 @@
 	}
 
 	/**
-	 * A request was at an engine that crashed. If it ran beside others and crashed the
-	 * next engine too, their callers would lose their answers a second time.
+	 * The request was at an engine that crashed. If it ran concurrently with others and
+	 * crashed the next engine too, their callers would lose their answers again.
 	 */
 	@Test
-	void shouldRunSuspectAlone() {
+	void shouldRunExclusiveRequestAlone() {
 		PriorityGate gate = gate(4, 0).build();
 		gate.offerOnline(offer("innocent"));
 		gate.offerBatch(offer("batch"));
@@ -175,16 +176,16 @@
 	}
 
 	@Test
-	void shouldRunSuspectAtOnceOnIdleEngine() {
+	void shouldRunExclusiveRequestImmediatelyOnIdleEngine() {
 		assertThat(gate(4, 0).build().offerOnline(offer("suspect").asExclusive())).containsExactly(start("suspect"));
 	}
 
 	/**
-	 * The sidecar is told to stop. Online requests in progress must be finished, batch is
-	 * handed back, and whatever comes later goes elsewhere.
+	 * The sidecar is draining: running online requests must finish, batch requests are
+	 * returned, and new requests are refused.
 	 */
 	@Test
-	void shouldHandBackAllButRunningOnlineRequestsWhenLeaving() {
+	void shouldReturnAllButRunningOnlineRequestsWhenDraining() {
 		PriorityGate gate = gate(2, 0).build();
 		gate.offerOnline(offer("running"));
 		gate.offerBatch(offer("batch"));
@@ -199,7 +200,7 @@
 
 	@ParameterizedTest
 	@EnumSource(GatePolicy.class)
-	void shouldStartFirstRequestByEveryPolicy(GatePolicy policy) {
+	void shouldStartFirstRequestUnderEveryPolicy(GatePolicy policy) {
 		EngineGate gate = policy.createGate(this.time, ConcurrencyLimit.fixed(4), 1, 8);
 		assertThat(gate.offerOnline(offer("a"))).containsExactly(start("a"));
 		assertThat(gate.offerBatch(offer("b"))).containsExactly(start("b"));
