--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobRunner.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/JobRunner.java
@@ -371,11 +371,11 @@
 	 * results
 	 */
 	public record Dependencies(JobStore store, ProgressStore progress, JobOwners owners,
-			BooleanSupplier membershipSettled, Supplier<SlotClaimOrder> slotClaimOrder, ActiveConfiguration configuration,
-			UpstreamRegistry upstreams, Placement placement, ConnectionPool connections, HeaderNames headers,
-			Ticker ticker, Supplier<Long> wallMillis, Timers timers, DoubleSupplier random, Executor loop,
-			GatewayMetrics metrics, Duration maxQueueTime, IntSupplier pauseCount, Supplier<Set<String>> liveRunners,
-			Runnable sendReport) {
+			BooleanSupplier membershipSettled, Supplier<SlotClaimOrder> slotClaimOrder,
+			ActiveConfiguration configuration, UpstreamRegistry upstreams, Placement placement,
+			ConnectionPool connections, HeaderNames headers, Ticker ticker, Supplier<Long> wallMillis, Timers timers,
+			DoubleSupplier random, Executor loop, GatewayMetrics metrics, Duration maxQueueTime, IntSupplier pauseCount,
+			Supplier<Set<String>> liveRunners, Runnable sendReport) {
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
@@ -115,7 +115,8 @@
 	 * @param account the account that the request belongs to, or empty for none
 	 * @return the request's use of the quota, or empty if the request was rejected
 	 */
-	Optional<QuotaReservation> takeQuota(HttpServerRequest request, CallerResponse response, Optional<ClientAccount> account) {
+	Optional<QuotaReservation> takeQuota(HttpServerRequest request, CallerResponse response,
+			Optional<ClientAccount> account) {
 		if (account.isEmpty()) {
 			return Optional.of(QuotaReservation.unlimited());
 		}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -286,8 +286,8 @@
 				this.settings.instance());
 		JobOwners owners = RendezvousOwners.of(this.settings.instance(), this.peers.fleet()::ownerCandidates);
 		JobRunner jobRunner = JobRunner.of(new JobRunner.Dependencies(this.jobs, progress, owners,
-				this.peers.fleet()::settled, this.peers.fleet()::slotClaimOrder, this.configuration, this.upstreams, placement,
-				connections, this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
+				this.peers.fleet()::settled, this.peers.fleet()::slotClaimOrder, this.configuration, this.upstreams,
+				placement, connections, this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
 				ThreadLocalRandom.current()::nextDouble, this.loop, this.metrics, this.settings.queueTimeout(),
 				this.peers.pauses()::pauses, this.peers.fleet()::runnerStates, this.peers.loads()::flush));
 		this.runner = Optional.of(jobRunner);
