--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchClient.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchClient.java
@@ -15,188 +15,188 @@
 import org.ragworthook.gateway.upstream.PrefixAffinity;
 
 /**
- * Asks the dispatcher of a service for slots, on behalf of the requests of an entry. Used
- * on the event loop.
+ * Requests slots from the dispatcher of a service on behalf of the requests of an entry.
+ * Not thread-safe: used on the event loop.
  * <p>
- * The dispatcher may be frozen, slow or gone, and datagrams are lost. A request is then
- * held up while slots are free; its caller notices a late first event. So a request that
- * has no answer within a tenth of a usual goal goes back to the entry's own choice, and
- * for a while the next process in the order is asked: when a dispatcher is gone, all ask
- * the same other one within that time, not only when its silence shows in the reports.
+ * The dispatcher may be frozen, slow or gone, and datagrams may be lost. A request would
+ * then be delayed although slots are free, and its caller would receive the first event
+ * late. A request that is not answered within a tenth of a typical latency target
+ * therefore falls back to the entry's own choice of upstream, and for a while requests go
+ * to the next process in the order of preference. When a dispatcher is gone, all entries
+ * thus switch to the same successor within that time, rather than only when reports from
+ * the dispatcher are missing.
  */
 public final class DispatchClient {
 
 	private static final EventLog LOG = EventLog.of(DispatchClient.class);
 
 	/**
-	 * How long the dispatcher may be silent: several times the way there and back between
-	 * failure domains, and a tenth of a caller's usual goal of 300 ms.
+	 * How long to wait for the dispatcher's answer: several round trips between failure
+	 * domains, and a tenth of a typical latency target of 300 ms.
 	 */
-	static final Duration ANSWER = Duration.ofMillis(30);
+	static final Duration ANSWER_TIMEOUT = Duration.ofMillis(30);
 
-	/**
-	 * After how long a waiting request is asked for again, in case that its slot was
-	 * given and the datagram lost.
-	 */
-	static final Duration ASK_AGAIN = Duration.ofMillis(100);
+	/** After how long a queued request is sent again, in case its grant was lost. */
+	static final Duration RESEND_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * How long a dispatcher that did not answer is not asked: three tries until a dead
-	 * one is known to be silent by its missing reports.
+	 * How long a dispatcher that did not answer is not asked: a dead one is tried about
+	 * three times before its missing reports show that it is unreachable.
 	 */
-	static final Duration DOUBTED = Duration.ofMillis(500);
+	static final Duration SUSPICION_PERIOD = Duration.ofMillis(500);
 
 	private final Ticker ticker;
 
 	private final Timers timers;
 
-	private final Channel channel;
+	private final Transport transport;
 
 	private final Map<Long, Pending> pending = new HashMap<>();
 
-	private final Map<String, Long> doubtedUntilNanos = new HashMap<>();
+	private final Map<String, Long> suspectedUntilNanos = new HashMap<>();
 
-	private long lastNumber;
+	private long lastRequestNumber;
 
-	private DispatchClient(Ticker ticker, Timers timers, Channel channel) {
+	private DispatchClient(Ticker ticker, Timers timers, Transport transport) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
-		this.channel = Objects.requireNonNull(channel, "channel is null");
+		this.transport = Objects.requireNonNull(transport, "transport is null");
 	}
 
 	/**
-	 * Returns a client that has asked nobody.
-	 * @param ticker the time
-	 * @param timers runs tasks later, on the event loop
-	 * @param channel leads to dispatchers
-	 * @return the client
+	 * Returns a client without pending requests.
+	 * @param ticker the monotonic clock
+	 * @param timers schedules tasks on the event loop
+	 * @param transport sends queries to dispatchers
+	 * @return a new client
 	 */
-	public static DispatchClient of(Ticker ticker, Timers timers, Channel channel) {
-		return new DispatchClient(ticker, timers, channel);
+	public static DispatchClient of(Ticker ticker, Timers timers, Transport transport) {
+		return new DispatchClient(ticker, timers, transport);
 	}
 
 	/**
-	 * Asks for a slot.
-	 * @param asker learns of the answer
+	 * Requests a slot from the dispatcher of a service.
+	 * @param requester receives the answer
 	 * @param service the service
-	 * @param except keys of upstreams that are not to be chosen
-	 * @param goalNanos the ticker's reading by which the request has to begin to run to
-	 * be in time
-	 * @return whether somebody was asked; if not, the entry is to choose for itself
+	 * @param excluded keys of upstreams that must not be chosen
+	 * @param startTargetNanos the ticker's reading in nanoseconds by which the request
+	 * has to start running to meet its latency target
+	 * @return whether a dispatcher was asked; if not, the entry has to choose an upstream
+	 * itself
 	 */
-	public boolean requestSlot(SlotRequester asker, String service, Set<Integer> except, long goalNanos) {
-		Optional<String> dispatcher = this.channel.dispatcher(service, (name) -> !doubted(name));
+	public boolean requestSlot(SlotRequester requester, String service, Set<Integer> excluded, long startTargetNanos) {
+		Optional<String> dispatcher = this.transport.dispatcher(service, (name) -> !suspected(name));
 		if (dispatcher.isEmpty()) {
 			return false;
 		}
-		Pending asked = new Pending(++this.lastNumber, asker, service, dispatcher.get(), Set.copyOf(except), goalNanos);
-		this.pending.put(asked.number, asked);
-		asked.send();
+		Pending request = new Pending(++this.lastRequestNumber, requester, service, dispatcher.get(),
+				Set.copyOf(excluded), startTargetNanos);
+		this.pending.put(request.number, request);
+		request.send();
 		return true;
 	}
 
-	private boolean doubted(String dispatcher) {
-		Long until = this.doubtedUntilNanos.get(dispatcher);
+	private boolean suspected(String dispatcher) {
+		Long until = this.suspectedUntilNanos.get(dispatcher);
 		return until != null && until - this.ticker.nanos() > 0;
 	}
 
 	/**
-	 * Learns that a request no longer needs a slot. What is granted all the same is free
-	 * again with this entry's next report.
-	 * @param asker the request
+	 * Called when a request no longer needs a slot. A slot that is granted all the same
+	 * becomes free with this entry's next report.
+	 * @param requester the request
 	 */
-	public void cancel(SlotRequester asker) {
-		for (Pending asked : List.copyOf(this.pending.values())) {
-			if (asked.asker == asker) {
-				asked.end();
+	public void cancel(SlotRequester requester) {
+		for (Pending request : List.copyOf(this.pending.values())) {
+			if (request.requester == requester) {
+				request.remove();
 			}
 		}
 	}
 
 	/**
-	 * Learns that a request waits at the dispatcher.
+	 * Called when the dispatcher has queued a request.
 	 * @param number the request's number
 	 */
-	void waits(long number) {
-		Pending asked = this.pending.get(number);
-		if (asked != null) {
-			asked.waits();
+	void queued(long number) {
+		Pending request = this.pending.get(number);
+		if (request != null) {
+			request.queued();
 		}
 	}
 
 	/**
-	 * Learns that a request was given a slot.
+	 * Called when the dispatcher has granted a request a slot.
 	 * @param number the request's number
 	 * @param upstreamKey the key of the upstream
-	 * @param yields whether a batch item is to leave the slot
+	 * @param preempts whether a batch item has to be preempted for the slot
 	 */
-	void granted(long number, int upstreamKey, boolean yields) {
-		Pending asked = this.pending.get(number);
-		if (asked != null) {
-			asked.end();
-			asked.asker.granted(upstreamKey, yields);
+	void granted(long number, int upstreamKey, boolean preempts) {
+		Pending request = this.pending.get(number);
+		if (request != null) {
+			request.remove();
+			request.requester.granted(upstreamKey, preempts);
 		}
 	}
 
-	private void unanswered(Pending asked) {
-		LOG.info("dispatcher_silent", "request", asked.asker.requestId(), "dispatcher", asked.dispatcher, "service",
-				asked.service, "after_ms", ANSWER.toMillis(), "not_asked_ms", DOUBTED.toMillis());
-		this.doubtedUntilNanos.put(asked.dispatcher, this.ticker.nanos() + DOUBTED.toNanos());
-		List<Pending> there = this.pending.values()
+	private void timedOut(Pending request) {
+		LOG.info("dispatcher_silent", "request", request.requester.requestId(), "dispatcher", request.dispatcher,
+				"service", request.service, "after_ms", ANSWER_TIMEOUT.toMillis(), "suspected_ms",
+				SUSPICION_PERIOD.toMillis());
+		this.suspectedUntilNanos.put(request.dispatcher, this.ticker.nanos() + SUSPICION_PERIOD.toNanos());
+		List<Pending> sameDispatcher = this.pending.values()
 			.stream()
-			.filter((other) -> other.dispatcher.equals(asked.dispatcher))
+			.filter((other) -> other.dispatcher.equals(request.dispatcher))
 			.toList();
-		there.forEach(Pending::end);
-		there.forEach((other) -> other.asker.dispatcherTimedOut());
+		sameDispatcher.forEach(Pending::remove);
+		sameDispatcher.forEach((other) -> other.requester.dispatcherTimedOut());
 	}
 
-	/**
-	 * A request that was asked for.
-	 */
+	/** A request that was sent to a dispatcher. */
 	private final class Pending {
 
 		private final long number;
 
-		private final SlotRequester asker;
+		private final SlotRequester requester;
 
 		private final String service;
 
 		private final String dispatcher;
 
-		private final Set<Integer> except;
+		private final Set<Integer> excluded;
 
-		private final long goalNanos;
+		private final long startTargetNanos;
 
 		private Timers.Timer timer;
 
-		Pending(long number, SlotRequester asker, String service, String dispatcher, Set<Integer> except,
-				long goalNanos) {
+		Pending(long number, SlotRequester requester, String service, String dispatcher, Set<Integer> excluded,
+				long startTargetNanos) {
 			this.number = number;
-			this.asker = asker;
+			this.requester = requester;
 			this.service = service;
 			this.dispatcher = dispatcher;
-			this.except = except;
-			this.goalNanos = goalNanos;
+			this.excluded = excluded;
+			this.startTargetNanos = startTargetNanos;
 		}
 
 		void send() {
 			DispatchClient client = DispatchClient.this;
-			Duration left = Duration.ofNanos(this.goalNanos - client.ticker.nanos());
-			client.channel.ask(this.dispatcher, new SlotQuery(this.number, this.asker.requestId(), this.service,
-					this.except, this.asker.prefixAffinity(), left));
-			after(ANSWER, () -> client.unanswered(this));
+			Duration untilTarget = Duration.ofNanos(this.startTargetNanos - client.ticker.nanos());
+			client.transport.send(this.dispatcher, new SlotQuery(this.number, this.requester.requestId(), this.service,
+					this.excluded, this.requester.prefixAffinity(), untilTarget));
+			restartTimer(ANSWER_TIMEOUT, () -> client.timedOut(this));
 		}
 
-		void waits() {
-			after(ASK_AGAIN, this::send);
+		void queued() {
+			restartTimer(RESEND_INTERVAL, this::send);
 		}
 
-		void end() {
+		void remove() {
 			DispatchClient.this.pending.remove(this.number);
 			this.timer.cancel();
 		}
 
-		private void after(Duration delay, Runnable task) {
+		private void restartTimer(Duration delay, Runnable task) {
 			if (this.timer != null) {
 				this.timer.cancel();
 			}
@@ -206,23 +206,22 @@
 	}
 
 	/**
-	 * What a dispatcher is asked.
+	 * A query for a slot, as sent to a dispatcher.
 	 *
-	 * @param number this entry's number of the request, the same when it asks again
+	 * @param number this entry's number of the request, the same when it is sent again
 	 * @param requestId the caller's id of the request, for the log
 	 * @param service the service
-	 * @param except keys of upstreams that are not to be chosen
-	 * @param prompt where the parts of its prompt are kept
-	 * @param toGoal how soon the request has to begin to run to be in time; negative if
-	 * it is late
+	 * @param excluded keys of upstreams that must not be chosen
+	 * @param prefixAffinity the upstreams that are likely to have the prompt's prefix
+	 * cached
+	 * @param untilStartTarget time until the request has to start running to meet its
+	 * latency target; negative if it is late
 	 */
-	public record SlotQuery(long number, String requestId, String service, Set<Integer> except, PrefixAffinity prompt,
-			Duration toGoal) {
+	public record SlotQuery(long number, String requestId, String service, Set<Integer> excluded,
+			PrefixAffinity prefixAffinity, Duration untilStartTarget) {
 	}
 
-	/**
-	 * A request that needs a slot.
-	 */
+	/** A request that needs a slot. */
 	public interface SlotRequester {
 
 		/**
@@ -232,46 +231,46 @@
 		String requestId();
 
 		/**
-		 * Returns where the parts of its prompt are kept.
-		 * @return the homes
+		 * Returns the upstreams that are likely to have the prompt's prefix cached.
+		 * @return the affinity
 		 */
 		PrefixAffinity prefixAffinity();
 
 		/**
-		 * The request has a slot.
+		 * Called when the request was granted a slot.
 		 * @param upstreamKey the key of the upstream
-		 * @param yields whether a batch item is to leave it
+		 * @param preempts whether a batch item has to be preempted for the slot
 		 */
-		void granted(int upstreamKey, boolean yields);
+		void granted(int upstreamKey, boolean preempts);
 
 		/**
-		 * The dispatcher does not answer; the entry is to choose for itself.
+		 * Called when the dispatcher did not answer in time; the entry has to choose an
+		 * upstream itself.
 		 */
 		void dispatcherTimedOut();
 
 	}
 
-	/**
-	 * Leads to the dispatchers.
-	 */
-	public interface Channel {
+	/** Locates dispatchers and sends queries to them. */
+	public interface Transport {
 
 		/**
-		 * Returns who gives out the slots of a service. All who hear the same processes
-		 * and doubt none of them are told the same one. A process that is not heard here
-		 * is cut off from this one; asked, it would only hold requests up.
+		 * Returns the process that dispatches the slots of a service. Entries that can
+		 * reach the same processes and accept all of them get the same one. Processes
+		 * that cannot be reached from this one are left out, since a query to them would
+		 * only delay requests.
 		 * @param service the service
-		 * @param usable which processes may be asked
+		 * @param usable accepts the processes that may be asked
 		 * @return the name of a process, or empty if there is none
 		 */
 		Optional<String> dispatcher(String service, Predicate<String> usable);
 
 		/**
-		 * Sends a request for a slot.
+		 * Sends a query for a slot.
 		 * @param dispatcher the name of the process
-		 * @param question the request
+		 * @param query the query
 		 */
-		void ask(String dispatcher, SlotQuery question);
+		void send(String dispatcher, SlotQuery query);
 
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
@@ -22,18 +22,20 @@
 import org.ragworthook.wire.load.SlotAsk;
 
 /**
- * Carries the questions of entries and the answers of dispatchers in load reports, so
- * that each brings the loads that it rests on. What is to be told to one peer within one
- * round of the event loop goes in one report. Used on the event loop.
+ * Carries slot queries of entries and answers of dispatchers in load reports, so that
+ * each message brings the loads that it is based on. Messages to the same peer within one
+ * iteration of the event loop are combined into one report. Not thread-safe: used on the
+ * event loop.
  */
-public final class DispatchReports implements ReportPart, DispatchClient.Channel, Dispatcher.Answers {
+public final class DispatchReports implements ReportPart, DispatchClient.Transport, Dispatcher.AnswerSink {
 
 	/**
-	 * How long after a question a dispatcher is told of each change. Longer than a usual
-	 * run, so that it hears at once of the slots that come free at the end of a burst;
-	 * while nobody asks, the reports that all get are soon enough.
+	 * How long after its latest query to a dispatcher an entry reports each load change
+	 * to it. Longer than a typical request, so that the dispatcher learns immediately of
+	 * the slots that become free at the end of a burst; without queries the periodic
+	 * reports suffice.
 	 */
-	private static final Duration TOLD_AFTER_ASKING = Duration.ofSeconds(1);
+	private static final Duration REPORT_AFTER_QUERY = Duration.ofSeconds(1);
 
 	private final LoadExchange exchange;
 
@@ -47,17 +49,17 @@
 
 	private final Map<String, LoadReport.Builder> outbox = new HashMap<>();
 
-	/** When each dispatcher was asked last, the ticker's reading. */
-	private final Map<String, Long> askedNanos = new HashMap<>();
+	/** The ticker's reading at the latest query to each dispatcher. */
+	private final Map<String, Long> lastQueryNanos = new HashMap<>();
 
 	private Optional<DispatchClient> client = Optional.empty();
 
 	private Optional<Dispatcher> dispatcher = Optional.empty();
 
-	/** The dispatcher whose grant came last. */
-	private String granter = "";
+	/** The dispatcher that sent the latest grant. */
+	private String lastGranter = "";
 
-	private long grantsSeen;
+	private long lastGrantSeen;
 
 	private DispatchReports(LoadExchange exchange, Executor loop, Ticker ticker, String self, String failureDomain) {
 		this.exchange = Objects.requireNonNull(exchange, "exchange is null");
@@ -68,13 +70,13 @@
 	}
 
 	/**
-	 * Begins to carry questions and answers.
-	 * @param exchange sends and takes reports
+	 * Adds queries and answers to the reports of a load exchange.
+	 * @param exchange sends and receives the reports
 	 * @param loop the event loop
-	 * @param ticker the time
+	 * @param ticker the monotonic clock
 	 * @param self the name of this process
-	 * @param failureDomain its failure domain
-	 * @return what carries them
+	 * @param failureDomain the failure domain of this process
+	 * @return the carrier of queries and answers
 	 */
 	public static DispatchReports attach(LoadExchange exchange, Executor loop, Ticker ticker, String self,
 			String failureDomain) {
@@ -84,29 +86,29 @@
 	}
 
 	/**
-	 * Sets who is told of answers.
-	 * @param asking asks on behalf of this process
+	 * Sets the receiver of answers.
+	 * @param client requests slots on behalf of this process
 	 */
-	public void client(DispatchClient asking) {
-		this.client = Optional.of(asking);
+	public void client(DispatchClient client) {
+		this.client = Optional.of(client);
 	}
 
 	/**
-	 * Sets who is told of questions.
-	 * @param answering gives out slots
+	 * Sets the receiver of queries.
+	 * @param dispatcher grants slots
 	 */
-	public void dispatcher(Dispatcher answering) {
-		this.dispatcher = Optional.of(answering);
+	public void dispatcher(Dispatcher dispatcher) {
+		this.dispatcher = Optional.of(dispatcher);
 	}
 
 	/**
-	 * Tells the dispatchers that were asked a moment ago that loads of this process have
-	 * changed.
+	 * Reports the changed loads of this process to the dispatchers that it has asked
+	 * recently.
 	 */
 	public void loadChanged() {
-		long since = this.ticker.nanos() - TOLD_AFTER_ASKING.toNanos();
-		this.askedNanos.values().removeIf((nanos) -> nanos - since <= 0);
-		this.askedNanos.keySet().forEach(this::report);
+		long since = this.ticker.nanos() - REPORT_AFTER_QUERY.toNanos();
+		this.lastQueryNanos.values().removeIf((nanos) -> nanos - since <= 0);
+		this.lastQueryNanos.keySet().forEach(this::scheduleReport);
 	}
 
 	@Override
@@ -119,36 +121,36 @@
 	}
 
 	@Override
-	public void ask(String name, DispatchClient.SlotQuery question) {
-		this.askedNanos.put(name, this.ticker.nanos());
+	public void send(String name, DispatchClient.SlotQuery query) {
+		this.lastQueryNanos.put(name, this.ticker.nanos());
 		SlotAsk.Builder ask = SlotAsk.newBuilder();
-		question.prompt()
+		query.prefixAffinity()
 			.parts()
 			.forEach((part) -> ask
 				.addPrompt(SharedPart.newBuilder().setHash(part.prefixHash()).setTokens(part.tokens())));
-		report(name).addAsks(ask.setNumber(question.number())
-			.setRequest(question.requestId())
-			.setService(question.service())
+		scheduleReport(name).addAsks(ask.setNumber(query.number())
+			.setRequest(query.requestId())
+			.setService(query.service())
 			.setFailureDomain(this.failureDomain)
-			.addAllExcept(question.except())
-			.setGoalMillis((int) question.toGoal().toMillis()));
+			.addAllExcept(query.excluded())
+			.setGoalMillis((int) query.untilStartTarget().toMillis()));
 	}
 
 	@Override
-	public void granted(SlotRequest request, GrantLedger.Grant grant, boolean yields) {
-		report(request.entry()).addAnswers(SlotAnswer.newBuilder()
+	public void granted(SlotRequest request, GrantLedger.Grant grant, boolean preempts) {
+		scheduleReport(request.entry()).addAnswers(SlotAnswer.newBuilder()
 			.setNumber(request.number())
 			.setUpstream(grant.upstream().key())
-			.setYields(yields)
+			.setYields(preempts)
 			.setGrant(grant.number()));
 	}
 
 	@Override
-	public void waits(SlotRequest request) {
-		report(request.entry()).addAnswers(SlotAnswer.newBuilder().setNumber(request.number()).setWaits(true));
+	public void queued(SlotRequest request) {
+		scheduleReport(request.entry()).addAnswers(SlotAnswer.newBuilder().setNumber(request.number()).setWaits(true));
 	}
 
-	private LoadReport.Builder report(String peer) {
+	private LoadReport.Builder scheduleReport(String peer) {
 		if (this.outbox.isEmpty()) {
 			this.loop.execute(this::flush);
 		}
@@ -163,57 +165,57 @@
 
 	@Override
 	public void write(LoadReport.Builder report) {
-		report.setDispatcher(this.granter).setGrantsSeen(this.grantsSeen);
+		report.setDispatcher(this.lastGranter).setGrantsSeen(this.lastGrantSeen);
 	}
 
 	@Override
 	public void read(LoadReport report) {
-		this.dispatcher.ifPresent((answering) -> answer(answering, report));
-		this.client.ifPresent((asking) -> answered(asking, report));
+		this.dispatcher.ifPresent((dispatcher) -> handleQueries(dispatcher, report));
+		this.client.ifPresent((client) -> handleAnswers(client, report));
 	}
 
-	private void answer(Dispatcher answering, LoadReport report) {
+	private void handleQueries(Dispatcher dispatcher, LoadReport report) {
 		if (report.getDispatcher().equals(this.self)) {
-			answering.seen(report.getInstance(), report.getGrantsSeen());
+			dispatcher.grantsCounted(report.getInstance(), report.getGrantsSeen());
 		}
-		answering.expire();
-		answering.changed();
+		dispatcher.expire();
+		dispatcher.loadsChanged();
 		if (this.exchange.fleet().settled()) {
-			requests(report).forEach(answering::ask);
+			queries(report).forEach(dispatcher::handle);
 		}
 	}
 
-	private List<SlotRequest> requests(LoadReport report) {
+	private List<SlotRequest> queries(LoadReport report) {
 		List<SlotRequest> requests = new ArrayList<>();
 		long now = this.ticker.nanos();
 		for (SlotAsk ask : report.getAsksList()) {
-			long goal = now + Duration.ofMillis(ask.getGoalMillis()).toNanos();
+			long startTarget = now + Duration.ofMillis(ask.getGoalMillis()).toNanos();
 			requests.add(new SlotRequest(report.getInstance(), ask.getNumber(), ask.getRequest(), ask.getService(),
-					ask.getFailureDomain(), new HashSet<>(ask.getExceptList()), prompt(ask), now, goal));
+					ask.getFailureDomain(), new HashSet<>(ask.getExceptList()), prefixAffinity(ask), now, startTarget));
 		}
 		return requests;
 	}
 
-	private static PrefixAffinity prompt(SlotAsk ask) {
+	private static PrefixAffinity prefixAffinity(SlotAsk ask) {
 		return new PrefixAffinity(ask.getPromptList()
 			.stream()
 			.map((part) -> new PrefixAffinity.Segment(part.getHash(), part.getTokens()))
 			.toList());
 	}
 
-	private void answered(DispatchClient asking, LoadReport report) {
+	private void handleAnswers(DispatchClient client, LoadReport report) {
 		for (SlotAnswer answer : report.getAnswersList()) {
 			if (answer.getWaits()) {
-				asking.waits(answer.getNumber());
+				client.queued(answer.getNumber());
 				continue;
 			}
-			if (!this.granter.equals(report.getInstance())) {
-				this.granter = report.getInstance();
-				this.grantsSeen = 0;
+			if (!this.lastGranter.equals(report.getInstance())) {
+				this.lastGranter = report.getInstance();
+				this.lastGrantSeen = 0;
 			}
-			this.grantsSeen = Math.max(this.grantsSeen, answer.getGrant());
-			report(report.getInstance());
-			asking.granted(answer.getNumber(), answer.getUpstream(), answer.getYields());
+			this.lastGrantSeen = Math.max(this.lastGrantSeen, answer.getGrant());
+			scheduleReport(report.getInstance());
+			client.granted(answer.getNumber(), answer.getUpstream(), answer.getYields());
 		}
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/Dispatcher.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/Dispatcher.java
@@ -18,24 +18,25 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * Gives the slots of upstreams to the online requests of all entries. Used on the event
- * loop; what it knows of loads comes from the reports of the entries, which it is sent at
- * each change.
+ * Assigns the slots of upstreams to the online requests of all entries. It knows the
+ * loads from the reports of the entries, which they send at each change. Not thread-safe:
+ * used on the event loop.
  * <p>
- * Answers the load of bursts that take nearly all slots. Played with 28 entries before 42
- * engines of 7 slots, and bursts of 2.4 s at nine tenths of what these can do and more,
- * 78 of 1,000 requests began later than 0.3 s when each entry chose for itself, and 1
- * with this ({@code DispatchPlayTests}).
+ * Serves bursts that need nearly all slots. In a simulation of 28 entries and 42
+ * upstreams of 7 slots, with bursts of 2.4 s at 90 % of the capacity and more, 78 of
+ * 1,000 requests started later than 0.3 s when each entry chose upstreams itself, and 1
+ * with a dispatcher ({@code DispatchSimulationTests}).
  */
 public final class Dispatcher {
 
 	private static final EventLog LOG = EventLog.of(Dispatcher.class);
 
 	/**
-	 * How long a request waits here after its entry last asked for it. Entries ask again
-	 * several times in that time; one that is gone, or has chosen for itself, does not.
+	 * How long a request stays queued after its entry last sent it. Entries resend
+	 * several times within that time; one that is gone or has chosen an upstream itself
+	 * does not.
 	 */
-	private static final Duration FORGOTTEN = Duration.ofMillis(400);
+	private static final Duration REQUEST_EXPIRY = Duration.ofMillis(400);
 
 	private final UpstreamRegistry upstreams;
 
@@ -43,16 +44,16 @@
 
 	private final RandomGenerator random;
 
-	private final Answers answers;
+	private final AnswerSink answers;
 
 	private final GrantLedger ledger;
 
-	private final Map<String, SlotQueue> lines = new HashMap<>();
+	private final Map<String, SlotQueue> queues = new HashMap<>();
 
 	private final Map<String, Placement> placements = new HashMap<>();
 
 	private Dispatcher(UpstreamRegistry upstreams, Ticker ticker, RandomGenerator random, long firstGrant,
-			Answers answers) {
+			AnswerSink answers) {
 		this.upstreams = Objects.requireNonNull(upstreams, "upstreams is null");
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.random = Objects.requireNonNull(random, "random is null");
@@ -61,91 +62,94 @@
 	}
 
 	/**
-	 * Returns a dispatcher that nobody has asked.
+	 * Returns a dispatcher without queued requests.
 	 * @param upstreams the upstreams and their loads
-	 * @param ticker the time
+	 * @param ticker the monotonic clock
 	 * @param random breaks ties
-	 * @param firstGrant a number above that of any grant of an earlier run
-	 * @param answers takes the answers
-	 * @return the dispatcher
+	 * @param firstGrant a number greater than that of any grant of an earlier run
+	 * @param answers receives the answers
+	 * @return a new dispatcher
 	 */
 	public static Dispatcher of(UpstreamRegistry upstreams, Ticker ticker, RandomGenerator random, long firstGrant,
-			Answers answers) {
+			AnswerSink answers) {
 		return new Dispatcher(upstreams, ticker, random, firstGrant, answers);
 	}
 
 	/**
-	 * Takes a request for a slot, or takes it once more, and answers it.
+	 * Grants a slot to a request or queues it. A request that was sent again is answered
+	 * with its earlier grant, if any.
 	 * @param request the request
 	 */
-	void ask(SlotRequest request) {
-		Optional<GrantLedger.Grant> before = this.ledger.find(request);
-		if (before.isPresent()) {
-			this.answers.granted(request, before.get(), SlotSharing.needsPreemption(before.get().upstream()));
+	void handle(SlotRequest request) {
+		Optional<GrantLedger.Grant> previousGrant = this.ledger.find(request);
+		if (previousGrant.isPresent()) {
+			this.answers.granted(request, previousGrant.get(),
+					SlotSharing.needsPreemption(previousGrant.get().upstream()));
 			return;
 		}
-		SlotQueue line = this.lines.computeIfAbsent(request.service(), (name) -> new SlotQueue());
-		line.add(request);
-		drain(line);
-		if (line.contains(request)) {
-			this.answers.waits(request);
+		SlotQueue queue = this.queues.computeIfAbsent(request.service(), (name) -> new SlotQueue());
+		queue.add(request);
+		drain(queue);
+		if (queue.contains(request)) {
+			this.answers.queued(request);
 		}
 	}
 
 	/**
-	 * Learns that an entry's loads count its grants.
-	 * @param entry the entry
-	 * @param through the last grant that they count
+	 * Called when the reported loads of an entry include its grants.
+	 * @param entry the name of the entry
+	 * @param lastGrant the number of the last grant that they include
 	 */
-	void seen(String entry, long through) {
-		this.ledger.seen(entry, through);
+	void grantsCounted(String entry, long lastGrant) {
+		this.ledger.counted(entry, lastGrant);
 	}
 
-	/**
-	 * Learns that loads have changed, so that slots may be free.
-	 */
-	void changed() {
-		this.lines.values().forEach(this::drain);
+	/** Called when loads have changed, so that slots may be free. */
+	void loadsChanged() {
+		this.queues.values().forEach(this::drain);
 	}
 
 	/**
-	 * Forgets what was not heard of for too long.
+	 * Removes grants that no report confirmed in time, and queued requests that were not
+	 * sent again in time.
 	 */
 	void expire() {
 		this.ledger.expire();
-		long before = this.ticker.nanos() - FORGOTTEN.toNanos();
-		this.lines.values().forEach((line) -> line.removeIf((request) -> request.askedNanos() - before <= 0));
+		long expiredNanos = this.ticker.nanos() - REQUEST_EXPIRY.toNanos();
+		this.queues.values()
+			.forEach((queue) -> queue.removeIf((request) -> request.receivedNanos() - expiredNanos <= 0));
 	}
 
 	/**
-	 * Returns how many requests wait.
-	 * @return over all services
+	 * Returns the number of queued requests.
+	 * @return the number over all services
 	 */
-	int waiting() {
-		return this.lines.values().stream().mapToInt(SlotQueue::size).sum();
+	int queuedRequests() {
+		return this.queues.values().stream().mapToInt(SlotQueue::size).sum();
 	}
 
-	private void drain(SlotQueue line) {
-		line.drain(this.ticker.nanos(), this::place);
+	private void drain(SlotQueue queue) {
+		queue.drain(this.ticker.nanos(), this::place);
 	}
 
 	private boolean place(SlotRequest request) {
 		List<TrackedUpstream> serving = this.upstreams.serving(request.service());
-		Set<TrackedUpstream> except = new HashSet<>();
-		request.except().forEach((key) -> this.upstreams.byKey(key).ifPresent(except::add));
-		Optional<TrackedUpstream> choice = placement(request.failureDomain()).choose(serving, except,
-				SlotSharing::hasFreeOnlineSlot, request.prompt(), 0);
+		Set<TrackedUpstream> excluded = new HashSet<>();
+		request.excluded().forEach((key) -> this.upstreams.byKey(key).ifPresent(excluded::add));
+		Optional<TrackedUpstream> choice = placement(request.failureDomain()).choose(serving, excluded,
+				SlotSharing::hasFreeOnlineSlot, request.prefixAffinity(), 0);
 		choice.ifPresent((upstream) -> grant(request, upstream));
 		return choice.isPresent();
 	}
 
 	private void grant(SlotRequest request, TrackedUpstream upstream) {
-		boolean yields = SlotSharing.needsPreemption(upstream);
+		boolean preempts = SlotSharing.needsPreemption(upstream);
 		GrantLedger.Grant grant = this.ledger.add(request, upstream);
-		long spare = (request.goalNanos() - this.ticker.nanos()) / 1_000_000;
-		LOG.info("slot_granted", "request", request.id(), "entry", request.entry(), "upstream", upstream, "online",
-				upstream.onlineLoad(), "batch", upstream.batchLoad(), "goal_in_ms", spare, "waiting", waiting());
-		this.answers.granted(request, grant, yields);
+		long untilTargetMillis = (request.startTargetNanos() - this.ticker.nanos()) / 1_000_000;
+		LOG.info("slot_granted", "request", request.requestId(), "entry", request.entry(), "upstream", upstream,
+				"online", upstream.onlineLoad(), "batch", upstream.batchLoad(), "goal_in_ms", untilTargetMillis,
+				"waiting", queuedRequests());
+		this.answers.granted(request, grant, preempts);
 	}
 
 	private Placement placement(String failureDomain) {
@@ -153,24 +157,22 @@
 				(domain) -> Placement.of(domain, this.ticker, this.random));
 	}
 
-	/**
-	 * Takes the answers of a dispatcher.
-	 */
-	public interface Answers {
+	/** Receives the answers of a dispatcher. */
+	public interface AnswerSink {
 
 		/**
-		 * A request was given a slot.
+		 * Called when a request was granted a slot.
 		 * @param request the request
-		 * @param grant the slot
-		 * @param yields whether a batch item is to leave it
+		 * @param grant the granted slot
+		 * @param preempts whether a batch item has to be preempted for the slot
 		 */
-		void granted(SlotRequest request, GrantLedger.Grant grant, boolean yields);
+		void granted(SlotRequest request, GrantLedger.Grant grant, boolean preempts);
 
 		/**
-		 * A request waits for a slot.
+		 * Called when no slot is free and the request was queued.
 		 * @param request the request
 		 */
-		void waits(SlotRequest request);
+		void queued(SlotRequest request);
 
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/GrantLedger.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/GrantLedger.java
@@ -13,82 +13,80 @@
 import org.ragworthook.gateway.upstream.TrackedUpstream;
 
 /**
- * The slots that a dispatcher has given away and that the entries' reports do not count
- * yet. Without it the same slot would be given to everybody who asks until the first
- * request shows up in a report.
+ * The slots that a dispatcher has granted and that the entries' reports do not include
+ * yet. Without it, the same slot would be granted to every request until the first one
+ * shows up in a report.
  */
 final class GrantLedger {
 
 	/**
-	 * How long a grant counts without a word of its entry: some tens of times the way
-	 * there and back. The entry may be gone, or the datagram lost.
+	 * How long a grant counts while its entry does not confirm it: some tens of round
+	 * trips. The entry may be gone, or the datagram lost.
 	 */
-	static final Duration KEPT = Duration.ofMillis(150);
+	static final Duration GRANT_EXPIRY = Duration.ofMillis(150);
 
 	private final Ticker ticker;
 
 	private final Map<String, Deque<Grant>> byEntry = new HashMap<>();
 
-	private long last;
+	private long lastNumber;
 
 	/**
-	 * Makes an empty ledger.
-	 * @param ticker the time
-	 * @param first the number before the first grant's; larger than any that this
-	 * instance gave in an earlier run
+	 * Creates an empty ledger.
+	 * @param ticker the monotonic clock
+	 * @param initialNumber the number before that of the first grant; greater than any
+	 * that this instance used in an earlier run
 	 */
-	GrantLedger(Ticker ticker, long first) {
+	GrantLedger(Ticker ticker, long initialNumber) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-		this.last = first;
+		this.lastNumber = initialNumber;
 	}
 
 	/**
-	 * Notes a grant.
-	 * @param request who asked
-	 * @param upstream where its slot is
+	 * Adds a grant and counts it as load of the upstream.
+	 * @param request the request
+	 * @param upstream the upstream of the granted slot
 	 * @return the grant
 	 */
 	Grant add(SlotRequest request, TrackedUpstream upstream) {
-		Grant grant = new Grant(++this.last, request.number(), upstream, this.ticker.nanos());
+		Grant grant = new Grant(++this.lastNumber, request.number(), upstream, this.ticker.nanos());
 		this.byEntry.computeIfAbsent(request.entry(), (name) -> new ArrayDeque<>()).addLast(grant);
 		upstream.addGranted(1);
 		return grant;
 	}
 
 	/**
-	 * Returns what was granted for a request that is asked for again, as the grant may
-	 * have been lost.
+	 * Returns the grant of a request that was sent again, since its answer may have been
+	 * lost.
 	 * @param request the request
 	 * @return the grant, or empty if there is none
 	 */
 	Optional<Grant> find(SlotRequest request) {
 		return this.byEntry.getOrDefault(request.entry(), new ArrayDeque<>())
 			.stream()
-			.filter((grant) -> grant.request() == request.number())
+			.filter((grant) -> grant.requestNumber() == request.number())
 			.findFirst();
 	}
 
 	/**
-	 * Learns that an entry's loads count its grants.
-	 * @param entry the entry
-	 * @param through the last grant that they count
+	 * Removes the grants that the reported loads of an entry include.
+	 * @param entry the name of the entry
+	 * @param lastGrant the number of the last grant that they include
 	 */
-	void seen(String entry, long through) {
+	void counted(String entry, long lastGrant) {
 		Deque<Grant> grants = this.byEntry.get(entry);
-		while (grants != null && !grants.isEmpty() && grants.peekFirst().number() <= through) {
+		while (grants != null && !grants.isEmpty() && grants.peekFirst().number() <= lastGrant) {
 			grants.removeFirst().upstream().addGranted(-1);
 		}
 	}
 
-	/**
-	 * Forgets grants of which nothing was heard for too long.
-	 */
+	/** Removes grants that were not confirmed in time. */
 	void expire() {
-		long before = this.ticker.nanos() - KEPT.toNanos();
+		long expiredNanos = this.ticker.nanos() - GRANT_EXPIRY.toNanos();
 		Iterator<Deque<Grant>> all = this.byEntry.values().iterator();
 		while (all.hasNext()) {
 			Deque<Grant> grants = all.next();
-			while (!grants.isEmpty() && grants.peekFirst().nanos() - before <= 0) {
+			while (!grants.isEmpty() && grants.peekFirst().grantedNanos() - expiredNanos <= 0) {
 				grants.removeFirst().upstream().addGranted(-1);
 			}
 			if (grants.isEmpty()) {
@@ -98,14 +96,14 @@
 	}
 
 	/**
-	 * A slot that was given away.
+	 * A granted slot.
 	 *
-	 * @param number grows with each
-	 * @param request the entry's number of its request
-	 * @param upstream where the slot is
-	 * @param nanos when, the ticker's reading
+	 * @param number the number of the grant, which increases with each grant
+	 * @param requestNumber the entry's number of the request
+	 * @param upstream the upstream of the slot
+	 * @param grantedNanos the ticker's reading in nanoseconds when the slot was granted
 	 */
-	record Grant(long number, long request, TrackedUpstream upstream, long nanos) {
+	record Grant(long number, long requestNumber, TrackedUpstream upstream, long grantedNanos) {
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/SlotQueue.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/SlotQueue.java
@@ -7,88 +7,89 @@
 import java.util.function.Predicate;
 
 /**
- * The requests that wait for a slot of one service, and who is next.
+ * The requests that wait for a slot of one service, ordered by which is served next.
  * <p>
- * A burst that needs more slots than there are makes everybody late if it is served in
- * order of arrival: each waits for those before it, although most of these are past their
- * goal already. So requests that can still be in time come first, the one whose goal is
- * nearest at the head; one that is late waits for a slot that nobody can be in time with.
- * Each fourth slot goes to the late all the same, so that a load which never falls below
- * the number of slots does not keep them out until their callers give up.
+ * In a burst that needs more slots than there are, service in order of arrival makes all
+ * requests late, since each waits for earlier ones most of which have already missed
+ * their target. Requests that can still start on time therefore come first, by earliest
+ * target; a late request waits until no request can be served on time. Every fourth slot
+ * goes to a late request nevertheless, so that late requests are not starved until their
+ * callers give up while the load stays above the number of slots.
  */
 final class SlotQueue {
 
-	/** Slots in a row for requests in time, while late ones wait. */
-	private static final int IN_TIME_IN_A_ROW = 3;
+	/** Consecutive slots for requests that are on time, while late ones wait. */
+	private static final int MAX_ON_TIME_IN_A_ROW = 3;
 
-	/** Requests without a slot that are skipped in one round. */
+	/** Requests that cannot be placed and are skipped, per call of {@link #drain}. */
 	private static final int MAX_SKIPPED = 4;
 
-	private final List<SlotRequest> waiting = new ArrayList<>();
+	private final List<SlotRequest> requests = new ArrayList<>();
 
-	private int inTimeInARow;
+	private int onTimeInARow;
 
 	/**
-	 * Adds a request. Asked for once more, it takes its old place by its goal.
+	 * Adds a request. A request that was sent again replaces its earlier copy.
 	 * @param request the request
 	 */
 	void add(SlotRequest request) {
 		Objects.requireNonNull(request, "request is null");
-		this.waiting.removeIf(request::repeats);
-		this.waiting.add(request);
+		this.requests.removeIf(request::sameRequest);
+		this.requests.add(request);
 	}
 
 	/**
-	 * Forgets requests.
-	 * @param condition which
+	 * Removes requests.
+	 * @param condition matches the requests to remove
 	 */
 	void removeIf(Predicate<SlotRequest> condition) {
-		this.waiting.removeIf(condition);
+		this.requests.removeIf(condition);
 	}
 
 	boolean contains(SlotRequest request) {
-		return this.waiting.contains(request);
+		return this.requests.contains(request);
 	}
 
 	int size() {
-		return this.waiting.size();
+		return this.requests.size();
 	}
 
 	/**
-	 * Offers the requests slots, the next one first. One that finds none does not hold up
-	 * those behind it, since it may have been turned away by the very upstreams that have
-	 * one; after some such there is none for anybody.
-	 * @param nowNanos the ticker's reading
-	 * @param place gives a request a slot and tells whether there was one
+	 * Offers slots to the requests, the next one first. A request that cannot be placed
+	 * does not block those behind it, since it may exclude the very upstreams that have a
+	 * free slot. After {@link #MAX_SKIPPED} such requests, no slot is assumed to be free.
+	 * @param nowNanos the ticker's reading in nanoseconds
+	 * @param tryPlace gives a request a slot and returns whether one was free
 	 */
-	void drain(long nowNanos, Predicate<SlotRequest> place) {
-		List<SlotRequest> without = new ArrayList<>();
-		while (this.waiting.size() > without.size() && without.size() < MAX_SKIPPED) {
-			SlotRequest next = next(nowNanos, without);
-			if (place.test(next)) {
-				this.inTimeInARow = inTime(next, nowNanos) ? this.inTimeInARow + 1 : 0;
-				this.waiting.remove(next);
+	void drain(long nowNanos, Predicate<SlotRequest> tryPlace) {
+		List<SlotRequest> skipped = new ArrayList<>();
+		while (this.requests.size() > skipped.size() && skipped.size() < MAX_SKIPPED) {
+			SlotRequest next = next(nowNanos, skipped);
+			if (tryPlace.test(next)) {
+				this.onTimeInARow = onTime(next, nowNanos) ? this.onTimeInARow + 1 : 0;
+				this.requests.remove(next);
 			}
 			else {
-				without.add(next);
+				skipped.add(next);
 			}
 		}
 	}
 
-	private SlotRequest next(long nowNanos, List<SlotRequest> without) {
-		Comparator<SlotRequest> byGoal = Comparator.comparingLong((request) -> request.goalNanos() - nowNanos);
-		List<SlotRequest> offered = this.waiting.stream()
-			.filter((request) -> !without.contains(request))
-			.sorted(byGoal)
+	private SlotRequest next(long nowNanos, List<SlotRequest> skipped) {
+		Comparator<SlotRequest> byStartTarget = Comparator
+			.comparingLong((request) -> request.startTargetNanos() - nowNanos);
+		List<SlotRequest> candidates = this.requests.stream()
+			.filter((request) -> !skipped.contains(request))
+			.sorted(byStartTarget)
 			.toList();
-		if (this.inTimeInARow >= IN_TIME_IN_A_ROW) {
-			return offered.get(0);
+		if (this.onTimeInARow >= MAX_ON_TIME_IN_A_ROW) {
+			return candidates.get(0);
 		}
-		return offered.stream().filter((request) -> inTime(request, nowNanos)).findFirst().orElse(offered.get(0));
+		return candidates.stream().filter((request) -> onTime(request, nowNanos)).findFirst().orElse(candidates.get(0));
 	}
 
-	private static boolean inTime(SlotRequest request, long nowNanos) {
-		return request.goalNanos() - nowNanos >= 0;
+	private static boolean onTime(SlotRequest request, long nowNanos) {
+		return request.startTargetNanos() - nowNanos >= 0;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/package-info.java
@@ -1,13 +1,15 @@
 /**
- * One process at a time, the dispatcher, gives out the slots of a service to the online
- * requests of all entries while they are scarce.
+ * Central assignment of slots to online requests while slots are scarce. For each
+ * service, one process at a time is the dispatcher and assigns slots to the requests of
+ * all entries.
  * <p>
- * Entries that choose for themselves know what the others have sent a tenth of a second
- * late. While half of the slots are free that does no harm. When nearly all are taken,
- * requests wait in the queue of one engine, in order of arrival, while a slot is free at
- * another. The dispatcher hears every start and end within a few milliseconds, keeps the
- * requests for which no slot is free in one line, and serves first those that can still
- * be in time. Its word is advice: an entry that gets no answer chooses for itself, and
- * two processes that both take themselves for the dispatcher cost some waiting, no more.
+ * Entries that choose upstreams themselves know the requests of other entries only 0.1 s
+ * late. That does no harm while half of the slots are free. When nearly all are taken,
+ * requests wait in the queue of one upstream, in order of arrival, while a slot is free
+ * at another. The dispatcher learns of each start and end of a request within a few
+ * milliseconds, keeps requests without a slot in one queue, and serves first those that
+ * can still meet their latency target. Its answers are advisory: an entry that gets no
+ * answer chooses an upstream itself, and two processes that both act as dispatcher
+ * increase waiting times but cause no other harm.
  */
 package org.ragworthook.gateway.dispatch;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchClientTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchClientTests.java
@@ -15,88 +15,89 @@
 
 class DispatchClientTests {
 
-	private static final Duration GOAL = Duration.ofMillis(200);
+	private static final Duration START_TARGET = Duration.ofMillis(200);
 
 	private final ManualTime time = ManualTime.of();
 
-	private final Line line = new Line();
+	private final RecordingTransport transport = new RecordingTransport();
 
-	private final DispatchClient client = DispatchClient.of(this.time, this.time, this.line);
+	private final DispatchClient client = DispatchClient.of(this.time, this.time, this.transport);
 
-	private boolean ask(DispatchClient.SlotRequester asker) {
-		return this.client.requestSlot(asker, "svc", Set.of(), this.time.nanos() + GOAL.toNanos());
+	private boolean requestSlot(DispatchClient.SlotRequester requester) {
+		return this.client.requestSlot(requester, "svc", Set.of(), this.time.nanos() + START_TARGET.toNanos());
 	}
 
 	/**
-	 * The dispatcher's machine freezes. Requests that wait for its word would be late
-	 * although slots are free; they go back to the entry's own choice in a tenth of their
-	 * goal, and the next ones do not wait for it at all.
+	 * Guards against late requests while slots are free, when the dispatcher's machine
+	 * freezes: pending requests fall back to the entry's own choice within a tenth of a
+	 * typical latency target, and later ones do not wait for the dispatcher at all.
 	 */
 	@Test
-	void shouldChooseForItselfWhenTheDispatcherIsSilent() {
+	void shouldFallBackToLocalPlacementWhenTheDispatcherDoesNotAnswer() {
 		Request first = new Request();
 		Request second = new Request();
-		assertThat(ask(first)).isTrue();
+		assertThat(requestSlot(first)).isTrue();
 		this.time.advance(Duration.ofMillis(10));
-		assertThat(ask(second)).isTrue();
-		this.time.advance(DispatchClient.ANSWER);
-		assertThat(first.outcomes).containsExactly("unanswered");
-		assertThat(second.outcomes).containsExactly("unanswered");
-		assertThat(ask(new Request())).isFalse();
-		this.time.advance(DispatchClient.DOUBTED);
-		assertThat(ask(new Request())).isTrue();
+		assertThat(requestSlot(second)).isTrue();
+		this.time.advance(DispatchClient.ANSWER_TIMEOUT);
+		assertThat(first.outcomes).containsExactly("timed out");
+		assertThat(second.outcomes).containsExactly("timed out");
+		assertThat(requestSlot(new Request())).isFalse();
+		this.time.advance(DispatchClient.SUSPICION_PERIOD);
+		assertThat(requestSlot(new Request())).isTrue();
 	}
 
 	/**
-	 * The dispatcher's machine is taken away in a burst. Its silence shows in the reports
-	 * only after a second and a half; if each entry chose for itself that long, requests
-	 * would fill the engines' queues for the rest of the burst.
+	 * Guards against full upstream queues for the rest of a burst when the dispatcher's
+	 * machine is lost: its missing reports are noticed only after 1.5 s, and until then
+	 * each entry would choose upstreams itself.
 	 */
 	@Test
-	void shouldAskTheNextWhenTheDispatcherIsSilent() {
-		this.line.dispatchers = List.of("first", "second");
-		ask(new Request());
-		this.time.advance(DispatchClient.ANSWER);
-		assertThat(ask(new Request())).isTrue();
-		this.time.advance(DispatchClient.DOUBTED);
-		assertThat(ask(new Request())).isTrue();
-		assertThat(this.line.askedOf).containsExactly("first", "second", "first").inOrder();
+	void shouldFailOverWhenTheDispatcherDoesNotAnswer() {
+		this.transport.dispatchers = List.of("first", "second");
+		requestSlot(new Request());
+		this.time.advance(DispatchClient.ANSWER_TIMEOUT);
+		assertThat(requestSlot(new Request())).isTrue();
+		this.time.advance(DispatchClient.SUSPICION_PERIOD);
+		assertThat(requestSlot(new Request())).isTrue();
+		assertThat(this.transport.queriedDispatchers).containsExactly("first", "second", "first").inOrder();
 	}
 
 	/**
-	 * A request waits in the dispatcher's line, which is not silence: it is asked for
-	 * again in case that the grant was lost, with what is left until its goal.
+	 * A queued request is not a missing answer. It is sent again, with the time left
+	 * until its target, in case the grant was lost.
 	 */
 	@Test
-	void shouldAskAgainWhileARequestWaits() {
+	void shouldResendWhileARequestIsQueued() {
 		Request request = new Request();
-		ask(request);
-		this.client.waits(1);
-		this.time.advance(DispatchClient.ASK_AGAIN);
+		requestSlot(request);
+		this.client.queued(1);
+		this.time.advance(DispatchClient.RESEND_INTERVAL);
 		assertThat(request.outcomes).isEmpty();
-		assertThat(this.line.asked).containsExactly("1 200", "1 100").inOrder();
+		assertThat(this.transport.queries).containsExactly("1 200", "1 100").inOrder();
 		this.client.granted(1, 7, false);
 		assertThat(request.outcomes).containsExactly("granted 7");
 	}
 
 	/**
-	 * The caller leaves while its request waits, and the grant comes after all.
+	 * The caller disconnects while its request is queued, and the grant arrives
+	 * afterwards.
 	 */
 	@Test
-	void shouldIgnoreAGrantForARequestThatIsGone() {
+	void shouldIgnoreAGrantForACancelledRequest() {
 		Request request = new Request();
-		ask(request);
+		requestSlot(request);
 		this.client.cancel(request);
 		this.client.granted(1, 7, false);
 		this.time.advance(Duration.ofSeconds(1));
 		assertThat(request.outcomes).isEmpty();
-		assertThat(this.line.asked).hasSize(1);
+		assertThat(this.transport.queries).hasSize(1);
 	}
 
 	@Test
-	void shouldAskNobodyWhereThereIsNoDispatcher() {
-		this.line.dispatchers = List.of();
-		assertThat(ask(new Request())).isFalse();
+	void shouldNotRequestASlotWithoutADispatcher() {
+		this.transport.dispatchers = List.of();
+		assertThat(requestSlot(new Request())).isFalse();
 	}
 
 	private static final class Request implements DispatchClient.SlotRequester {
@@ -114,25 +115,23 @@
 		}
 
 		@Override
-		public void granted(int upstreamKey, boolean yields) {
+		public void granted(int upstreamKey, boolean preempts) {
 			this.outcomes.add("granted " + upstreamKey);
 		}
 
 		@Override
 		public void dispatcherTimedOut() {
-			this.outcomes.add("unanswered");
+			this.outcomes.add("timed out");
 		}
 
 	}
 
-	/**
-	 * Leads to a dispatcher that hears and says nothing.
-	 */
-	private static final class Line implements DispatchClient.Channel {
+	/** Records the queries and never answers them. */
+	private static final class RecordingTransport implements DispatchClient.Transport {
 
-		private final List<String> asked = new ArrayList<>();
+		private final List<String> queries = new ArrayList<>();
 
-		private final List<String> askedOf = new ArrayList<>();
+		private final List<String> queriedDispatchers = new ArrayList<>();
 
 		private List<String> dispatchers = List.of("d");
 
@@ -142,9 +141,9 @@
 		}
 
 		@Override
-		public void ask(String name, DispatchClient.SlotQuery question) {
-			this.askedOf.add(name);
-			this.asked.add(question.number() + " " + question.toGoal().toMillis());
+		public void send(String dispatcher, DispatchClient.SlotQuery query) {
+			this.queriedDispatchers.add(dispatcher);
+			this.queries.add(query.number() + " " + query.untilStartTarget().toMillis());
 		}
 
 	}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchReportsTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatchReportsTests.java
@@ -26,9 +26,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-/**
- * An entry and a dispatcher that speak over sockets.
- */
+/** Tests an entry and a dispatcher that communicate over sockets. */
 class DispatchReportsTests {
 
 	private static final String SERVICE = "svc";
@@ -39,7 +37,7 @@
 
 	private final Closer closer = Closer.empty();
 
-	/** Stands still, so that no answer is ever late. */
+	/** Never advances, so that no answer is ever late. */
 	private final ManualTime time = ManualTime.of();
 
 	private final Address entryAddress = Loopback.free();
@@ -64,45 +62,46 @@
 	}
 
 	/**
-	 * Two requests of an entry need the one slot of an engine. The second one gets it
-	 * when the entry's report shows that the first has ended, and not before.
+	 * Two requests of an entry need the only slot of an upstream. The second one is
+	 * granted the slot when the entry's report shows that the first has ended, and not
+	 * before.
 	 */
 	@Test
-	void shouldGiveOutTheSlotsThatReportsShowFree() throws InterruptedException {
-		UpstreamRegistry mine = registry();
-		LoadExchange entry = exchange("entry", this.entryAddress, mine, false);
-		UpstreamRegistry theirs = registry();
-		LoadExchange dispatching = exchange("dispatching", this.dispatcherAddress, theirs, true);
-		DispatchReports asking = DispatchReports.attach(entry, this.loop, this.time, "entry", "a");
-		DispatchClient client = DispatchClient.of(this.time, this.time, asking);
-		asking.client(client);
-		DispatchReports answering = DispatchReports.attach(dispatching, this.loop, this.time, "dispatching", "a");
-		answering.dispatcher(Dispatcher.of(theirs, this.time, new Random(1), 0, answering));
-		dispatching.introduce(this.entryAddress);
-		entry.introduce(this.dispatcherAddress);
-		dispatching.introduced();
-		Loopback.until(() -> asking.dispatcher(SERVICE, (name) -> true).isPresent() && dispatching.fleet().settled());
-		TrackedUpstream here = mine.byKey(TrackedUpstream.key("u1")).orElseThrow();
-		Sender first = new Sender(here);
-		Sender second = new Sender(here);
+	void shouldGrantASlotWhenReportsShowItFree() throws InterruptedException {
+		UpstreamRegistry entryRegistry = registry();
+		LoadExchange entryExchange = exchange("entry", this.entryAddress, entryRegistry, false);
+		UpstreamRegistry dispatcherRegistry = registry();
+		LoadExchange dispatcherExchange = exchange("dispatching", this.dispatcherAddress, dispatcherRegistry, true);
+		DispatchReports entryReports = DispatchReports.attach(entryExchange, this.loop, this.time, "entry", "a");
+		DispatchClient client = DispatchClient.of(this.time, this.time, entryReports);
+		entryReports.client(client);
+		DispatchReports dispatcherReports = DispatchReports.attach(dispatcherExchange, this.loop, this.time,
+				"dispatching", "a");
+		dispatcherReports.dispatcher(Dispatcher.of(dispatcherRegistry, this.time, new Random(1), 0, dispatcherReports));
+		dispatcherExchange.introduce(this.entryAddress);
+		entryExchange.introduce(this.dispatcherAddress);
+		dispatcherExchange.introduced();
+		Loopback.until(() -> entryReports.dispatcher(SERVICE, (name) -> true).isPresent()
+				&& dispatcherExchange.fleet().settled());
+		TrackedUpstream entryUpstream = entryRegistry.byKey(TrackedUpstream.key("u1")).orElseThrow();
+		Sender first = new Sender(entryUpstream);
+		Sender second = new Sender(entryUpstream);
 		this.loop.execute(() -> {
 			client.requestSlot(first, SERVICE, Set.of(), Long.MAX_VALUE / 2);
 			client.requestSlot(second, SERVICE, Set.of(), Long.MAX_VALUE / 2);
 		});
-		TrackedUpstream there = theirs.byKey(TrackedUpstream.key("u1")).orElseThrow();
-		Loopback.until(() -> first.sent.get() == 1 && there.onlineLoad() == 1);
+		TrackedUpstream dispatcherUpstream = dispatcherRegistry.byKey(TrackedUpstream.key("u1")).orElseThrow();
+		Loopback.until(() -> first.sent.get() == 1 && dispatcherUpstream.onlineLoad() == 1);
 		assertThat(second.sent.get()).isEqualTo(0);
 		this.loop.execute(() -> {
-			here.end(WorkClass.ONLINE);
-			asking.loadChanged();
+			entryUpstream.end(WorkClass.ONLINE);
+			entryReports.loadChanged();
 		});
 		Loopback.until(() -> second.sent.get() == 1);
 		assertThat(first.sent.get()).isEqualTo(1);
 	}
 
-	/**
-	 * Sends a request to the upstream that it is given.
-	 */
+	/** Sends its request to the upstream that it is granted. */
 	private record Sender(TrackedUpstream upstream, AtomicInteger sent) implements DispatchClient.SlotRequester {
 
 		Sender(TrackedUpstream upstream) {
@@ -120,7 +119,7 @@
 		}
 
 		@Override
-		public void granted(int upstreamKey, boolean yields) {
+		public void granted(int upstreamKey, boolean preempts) {
 			assertThat(upstreamKey).isEqualTo(this.upstream.key());
 			this.upstream.begin(WorkClass.ONLINE);
 			this.sent.incrementAndGet();
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatcherTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatcherTests.java
@@ -23,129 +23,128 @@
 
 	private final UpstreamRegistry registry = UpstreamRegistry.empty();
 
-	private final Said said = new Said();
+	private final RecordedAnswers answers = new RecordedAnswers();
 
-	private final Dispatcher dispatcher = Dispatcher.of(this.registry, this.time, new Random(1), 0, this.said);
+	private final Dispatcher dispatcher = Dispatcher.of(this.registry, this.time, new Random(1), 0, this.answers);
 
 	private TrackedUpstream upstream(String id, int slots) {
 		this.registry.put(new UpstreamDescriptor(id, "svc", new Address("10.0.0.1", 80), "d1", slots, false));
 		return this.registry.byKey(TrackedUpstream.key(id)).orElseThrow();
 	}
 
-	private SlotRequest request(String entry, long number, Integer... except) {
-		return new SlotRequest(entry, number, "r", "svc", "d1", Set.of(except), PrefixAffinity.none(),
+	private SlotRequest request(String entry, long number, Integer... excluded) {
+		return new SlotRequest(entry, number, "r", "svc", "d1", Set.of(excluded), PrefixAffinity.none(),
 				this.time.nanos(), this.time.nanos() + 1_000_000);
 	}
 
 	/**
-	 * Two entries ask for the same free slot before the first has told that it uses it.
-	 * Given to both, one request waits at the engine for a whole run.
+	 * Guards against granting a free slot to a second entry before the first one has
+	 * reported its use, which makes one request wait at the upstream until the other has
+	 * ended.
 	 */
 	@Test
-	void shouldGiveASlotOnce() {
+	void shouldGrantASlotOnce() {
 		upstream("u1", 1);
-		this.dispatcher.ask(request("e1", 1));
-		this.dispatcher.ask(request("e2", 1));
-		assertThat(this.said.granted).containsExactly("e1/1 u1");
-		assertThat(this.said.waiting).containsExactly("e2/1");
+		this.dispatcher.handle(request("e1", 1));
+		this.dispatcher.handle(request("e2", 1));
+		assertThat(this.answers.granted).containsExactly("e1/1 u1");
+		assertThat(this.answers.queued).containsExactly("e2/1");
 	}
 
 	/**
-	 * An entry reports its load with the grant counted. From then on the report counts
-	 * the slot, and when the run ends the next in line gets it.
+	 * Once an entry reports its load including the grant, the slot is counted by the
+	 * report, and when the request ends the next queued request is granted the slot.
 	 */
 	@Test
-	void shouldGiveTheSlotOnWhenTheRunHasEnded() {
+	void shouldGrantTheSlotAgainWhenTheRequestHasEnded() {
 		TrackedUpstream upstream = upstream("u1", 1);
-		this.dispatcher.ask(request("e1", 1));
-		this.dispatcher.ask(request("e2", 1));
+		this.dispatcher.handle(request("e1", 1));
+		this.dispatcher.handle(request("e2", 1));
 		upstream.updatePeerLoad(new PeerLoad(1, 0, 0));
-		this.dispatcher.seen("e1", 1);
-		this.dispatcher.changed();
-		assertThat(this.said.granted).hasSize(1);
+		this.dispatcher.grantsCounted("e1", 1);
+		this.dispatcher.loadsChanged();
+		assertThat(this.answers.granted).hasSize(1);
 		upstream.updatePeerLoad(PeerLoad.NONE);
-		this.dispatcher.changed();
-		assertThat(this.said.granted).containsExactly("e1/1 u1", "e2/1 u1").inOrder();
+		this.dispatcher.loadsChanged();
+		assertThat(this.answers.granted).containsExactly("e1/1 u1", "e2/1 u1").inOrder();
 	}
 
 	/**
-	 * The datagram with a grant is lost, and the entry asks again: it is told of the same
-	 * slot, not given a second one.
+	 * The datagram with a grant is lost and the entry sends the request again: it is
+	 * granted the same slot, not a second one.
 	 */
 	@Test
-	void shouldRepeatAGrantThatWasLost() {
+	void shouldRepeatALostGrant() {
 		TrackedUpstream upstream = upstream("u1", 2);
-		this.dispatcher.ask(request("e1", 1));
-		this.dispatcher.ask(request("e1", 1));
-		assertThat(this.said.granted).containsExactly("e1/1 u1", "e1/1 u1");
+		this.dispatcher.handle(request("e1", 1));
+		this.dispatcher.handle(request("e1", 1));
+		assertThat(this.answers.granted).containsExactly("e1/1 u1", "e1/1 u1");
 		assertThat(upstream.onlineLoad()).isEqualTo(1);
 	}
 
 	/**
-	 * An entry is killed right after it was given a slot. Kept for it, the slot would
-	 * stand empty until the dispatcher is started anew.
+	 * Guards against a slot that stays reserved until the dispatcher restarts, for an
+	 * entry that was killed right after the grant.
 	 */
 	@Test
-	void shouldTakeASlotBackOfWhichNothingIsHeard() {
+	void shouldReleaseAGrantThatIsNeverReported() {
 		TrackedUpstream upstream = upstream("u1", 1);
-		this.dispatcher.ask(request("e1", 1));
-		this.time.advance(GrantLedger.KEPT);
+		this.dispatcher.handle(request("e1", 1));
+		this.time.advance(GrantLedger.GRANT_EXPIRY);
 		this.dispatcher.expire();
 		assertThat(upstream.onlineLoad()).isEqualTo(0);
 	}
 
 	/**
-	 * An entry is killed while its request waits. A slot given to it would stand empty
-	 * for a moment, at the time when slots are scarcest.
+	 * Guards against granting a slot to an entry that was killed while its request was
+	 * queued: the slot would stay empty when slots are scarcest.
 	 */
 	@Test
-	void shouldForgetWhoNoLongerAsks() {
+	void shouldForgetRequestsThatAreNotResent() {
 		TrackedUpstream upstream = upstream("u1", 1);
 		upstream.updatePeerLoad(new PeerLoad(1, 0, 0));
-		this.dispatcher.ask(request("e1", 1));
-		assertThat(this.dispatcher.waiting()).isEqualTo(1);
+		this.dispatcher.handle(request("e1", 1));
+		assertThat(this.dispatcher.queuedRequests()).isEqualTo(1);
 		this.time.advance(Duration.ofMillis(500));
 		this.dispatcher.expire();
-		assertThat(this.dispatcher.waiting()).isEqualTo(0);
+		assertThat(this.dispatcher.queuedRequests()).isEqualTo(0);
 	}
 
 	/**
-	 * Batch items hold the only slots. Online requests get them, and the entry is told
-	 * that an item has to leave.
+	 * Batch items hold the only slots. An online request is granted one, and its entry is
+	 * told that an item has to be preempted.
 	 */
 	@Test
-	void shouldGiveSlotsThatBatchHolds() {
+	void shouldGrantSlotsHeldByBatchItems() {
 		upstream("u1", 1).updatePeerLoad(new PeerLoad(0, 1, 0));
-		this.dispatcher.ask(request("e1", 1));
-		assertThat(this.said.granted).containsExactly("e1/1 u1 yields");
+		this.dispatcher.handle(request("e1", 1));
+		assertThat(this.answers.granted).containsExactly("e1/1 u1 yields");
 	}
 
 	@Test
-	void shouldNotChooseWhatTheEntryExcepts() {
+	void shouldNotChooseExcludedUpstreams() {
 		upstream("u1", 4);
 		upstream("u2", 4);
-		this.dispatcher.ask(request("e1", 1, TrackedUpstream.key("u1")));
-		assertThat(this.said.granted).containsExactly("e1/1 u2");
+		this.dispatcher.handle(request("e1", 1, TrackedUpstream.key("u1")));
+		assertThat(this.answers.granted).containsExactly("e1/1 u2");
 	}
 
-	/**
-	 * Keeps what was said.
-	 */
-	private static final class Said implements Dispatcher.Answers {
+	/** Records the answers. */
+	private static final class RecordedAnswers implements Dispatcher.AnswerSink {
 
 		private final List<String> granted = new ArrayList<>();
 
-		private final List<String> waiting = new ArrayList<>();
+		private final List<String> queued = new ArrayList<>();
 
 		@Override
-		public void granted(SlotRequest request, GrantLedger.Grant grant, boolean yields) {
+		public void granted(SlotRequest request, GrantLedger.Grant grant, boolean preempts) {
 			this.granted
-				.add(request.entry() + "/" + request.number() + " " + grant.upstream() + (yields ? " yields" : ""));
+				.add(request.entry() + "/" + request.number() + " " + grant.upstream() + (preempts ? " yields" : ""));
 		}
 
 		@Override
-		public void waits(SlotRequest request) {
-			this.waiting.add(request.entry() + "/" + request.number());
+		public void queued(SlotRequest request) {
+			this.queued.add(request.entry() + "/" + request.number());
 		}
 
 	}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/FleetSimulation.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/FleetSimulation.java
@@ -26,11 +26,11 @@
 import org.ragworthook.gateway.upstream.WorkClass;
 
 /**
- * A day of entries before engines that admit in order of arrival, under a virtual clock.
- * Entries hear of each other every tenth of a second; bursts take more slots than there
- * are for a moment. Counts the requests that begin to run too late for their callers.
+ * Simulates entries and upstreams that run requests in order of arrival, under a virtual
+ * clock. Entries report their loads to each other every 100 ms; bursts briefly need more
+ * slots than there are. Counts the requests that start too late for their callers.
  */
-final class FleetPlay {
+final class FleetSimulation {
 
 	private static final String SERVICE = "svc";
 
@@ -38,18 +38,18 @@
 
 	private static final int ENGINES_PER_ENTRY_TENTHS = 15;
 
-	private static final int NEWS_MILLIS = 100;
+	private static final int REPORT_INTERVAL_MILLIS = 100;
 
-	/** One way between two processes, with what they take to act on a message. */
-	private static final Duration WAY = Duration.ofMillis(2);
+	/** One-way latency between two processes, including the time to process a message. */
+	private static final Duration LATENCY = Duration.ofMillis(2);
 
-	/** A caller's goal for the first event. */
-	private static final int GOAL_MILLIS = 300;
+	/** A caller's target for the first event. */
+	private static final int FIRST_EVENT_TARGET_MILLIS = 300;
 
-	/** The part of the goal within which a request has to be sent to a free slot. */
-	private static final int SEND_MILLIS = 225;
+	/** Time within which a request has to be sent to a free slot to meet that target. */
+	private static final int SEND_TARGET_MILLIS = 225;
 
-	private static final int EVENTS = 35;
+	private static final int MEAN_EVENTS = 35;
 
 	private static final int QUIET_MILLIS = 3_400;
 
@@ -70,7 +70,7 @@
 
 	private final boolean dispatching;
 
-	/** When the dispatcher stops answering; the entries take it for alive. */
+	/** When the dispatcher stops answering; the entries do not detect that it is gone. */
 	private final int dispatcherStopsMillis;
 
 	private final List<Engine> engines = new ArrayList<>();
@@ -81,23 +81,23 @@
 
 	private final DispatchingProcess dispatcher;
 
-	private int now;
+	private int nowMillis;
 
 	private int requests;
 
 	private int late;
 
-	private int longestMillis;
+	private int longestWaitMillis;
 
 	/**
-	 * Makes a day.
-	 * @param entryCount how many entries there are; engines are one and a half times as
-	 * many
+	 * Creates a simulation.
+	 * @param entryCount the number of entries; there are one and a half times as many
+	 * upstreams
 	 * @param dispatching whether entries ask a dispatcher while slots are scarce
-	 * @param dispatcherStopsMillis when it stops answering
-	 * @param seed of all that is random
+	 * @param dispatcherStopsMillis when the dispatcher stops answering, in milliseconds
+	 * @param seed the seed of all random numbers
 	 */
-	FleetPlay(int entryCount, boolean dispatching, int dispatcherStopsMillis, int seed) {
+	FleetSimulation(int entryCount, boolean dispatching, int dispatcherStopsMillis, int seed) {
 		this.random = new Random(seed);
 		this.dispatching = dispatching;
 		this.dispatcherStopsMillis = dispatcherStopsMillis;
@@ -115,27 +115,27 @@
 	}
 
 	/**
-	 * Plays.
-	 * @param millis for how long
+	 * Runs the simulation.
+	 * @param millis for how long, in milliseconds
 	 * @return how many of 1,000 requests were late
 	 */
 	double latePerThousand(int millis) {
-		for (this.now = 0; this.now < millis; this.now++) {
+		for (this.nowMillis = 0; this.nowMillis < millis; this.nowMillis++) {
 			this.time.advance(Duration.ofMillis(1));
-			this.engines.forEach(Engine::round);
-			this.entries.forEach(Entry::round);
-			boolean burst = this.now % (QUIET_MILLIS + BURST_MILLIS) >= QUIET_MILLIS;
+			this.engines.forEach(Engine::tick);
+			this.entries.forEach(Entry::tick);
+			boolean burst = this.nowMillis % (QUIET_MILLIS + BURST_MILLIS) >= QUIET_MILLIS;
 			arrivals((burst ? BURST_RATE : QUIET_RATE) * this.engines.size() / 1_000);
 		}
 		return 1_000.0 * this.late / this.requests;
 	}
 
 	/**
-	 * Returns the longest time that a request waited until it began to run.
+	 * Returns the longest time from the arrival of a request to its first event.
 	 * @return milliseconds
 	 */
-	int longestMillis() {
-		return this.longestMillis;
+	int longestWaitMillis() {
+		return this.longestWaitMillis;
 	}
 
 	private void arrivals(double mean) {
@@ -159,35 +159,33 @@
 	}
 
 	private static List<TrackedUpstream> fleet(UpstreamRegistry registry) {
-		return registry.all().stream().sorted(Comparator.comparingInt(FleetPlay::number)).toList();
+		return registry.all().stream().sorted(Comparator.comparingInt(FleetSimulation::number)).toList();
 	}
 
 	private static int number(TrackedUpstream upstream) {
 		return Integer.parseInt(upstream.descriptor().id().substring(1));
 	}
 
-	/**
-	 * What a process has heard of the entries.
-	 */
-	private final class Heard {
+	/** The loads that a process knows from the reports of the entries. */
+	private final class ObservedLoads {
 
 		private final List<TrackedUpstream> upstreams;
 
 		private final Map<Entry, int[]> loads = new HashMap<>();
 
-		private final int[] sums = new int[FleetPlay.this.engines.size()];
+		private final int[] totals = new int[FleetSimulation.this.engines.size()];
 
-		Heard(UpstreamRegistry registry) {
+		ObservedLoads(UpstreamRegistry registry) {
 			this.upstreams = fleet(registry);
 		}
 
-		void replace(Entry entry, int[] newest) {
-			int[] before = this.loads.put(entry, newest);
-			for (int i = 0; i < newest.length; i++) {
-				int change = newest[i] - ((before != null) ? before[i] : 0);
+		void update(Entry entry, int[] newLoads) {
+			int[] previous = this.loads.put(entry, newLoads);
+			for (int i = 0; i < newLoads.length; i++) {
+				int change = newLoads[i] - ((previous != null) ? previous[i] : 0);
 				if (change != 0) {
-					this.sums[i] += change;
-					this.upstreams.get(i).updatePeerLoad(new PeerLoad(this.sums[i], 0, 0));
+					this.totals[i] += change;
+					this.upstreams.get(i).updatePeerLoad(new PeerLoad(this.totals[i], 0, 0));
 				}
 			}
 		}
@@ -195,23 +193,23 @@
 	}
 
 	/**
-	 * Runs {@link #SLOTS} requests at once, each event the more slowly the more there
-	 * are.
+	 * An upstream that runs {@link #SLOTS} requests at once; the more run, the slower
+	 * each of them is.
 	 */
 	private final class Engine {
 
-		private final double speed = 0.85 + 0.3 * FleetPlay.this.random.nextDouble();
+		private final double speed = 0.85 + 0.3 * FleetSimulation.this.random.nextDouble();
 
 		private final List<Request> running = new ArrayList<>();
 
 		private final Deque<Request> waiting = new ArrayDeque<>();
 
-		void round() {
-			double events = 1 / ((8 + 2.3 * this.running.size()) * this.speed);
+		void tick() {
+			double eventsPerTick = 1 / ((8 + 2.3 * this.running.size()) * this.speed);
 			for (Request request : List.copyOf(this.running)) {
-				request.progress(events);
+				request.progress(eventsPerTick);
 			}
-			this.running.removeIf(Request::over);
+			this.running.removeIf(Request::ended);
 			while (this.running.size() < SLOTS && !this.waiting.isEmpty()) {
 				this.running.add(this.waiting.remove());
 			}
@@ -219,45 +217,43 @@
 
 	}
 
-	/**
-	 * A caller's request at its entry.
-	 */
+	/** A caller's request at its entry. */
 	private final class Request implements DispatchClient.SlotRequester {
 
 		private final Entry entry;
 
-		private final int arrived = FleetPlay.this.now;
+		private final int arrivedMillis = FleetSimulation.this.nowMillis;
 
-		private final int length = Math.max(5,
-				(int) (EVENTS * Math.exp(0.4 * FleetPlay.this.random.nextGaussian() - 0.08)));
+		private final int totalEvents = Math.max(5,
+				(int) (MEAN_EVENTS * Math.exp(0.4 * FleetSimulation.this.random.nextGaussian() - 0.08)));
 
 		private TrackedUpstream upstream;
 
 		private double events;
 
-		private boolean begun;
+		private boolean started;
 
 		Request(Entry entry) {
 			this.entry = entry;
 		}
 
-		void progress(double more) {
-			this.events += more;
-			if (!this.begun && this.events >= 1) {
-				this.begun = true;
-				int waited = FleetPlay.this.now - this.arrived;
-				FleetPlay.this.late += (waited > GOAL_MILLIS) ? 1 : 0;
-				FleetPlay.this.longestMillis = Math.max(FleetPlay.this.longestMillis, waited);
+		void progress(double addedEvents) {
+			this.events += addedEvents;
+			if (!this.started && this.events >= 1) {
+				this.started = true;
+				int waitedMillis = FleetSimulation.this.nowMillis - this.arrivedMillis;
+				FleetSimulation.this.late += (waitedMillis > FIRST_EVENT_TARGET_MILLIS) ? 1 : 0;
+				FleetSimulation.this.longestWaitMillis = Math.max(FleetSimulation.this.longestWaitMillis, waitedMillis);
 			}
-			if (over()) {
+			if (ended()) {
 				this.upstream.end(WorkClass.ONLINE);
 				this.entry.loadChanged();
 				this.entry.drain();
 			}
 		}
 
-		boolean over() {
-			return this.events >= this.length;
+		boolean ended() {
+			return this.events >= this.totalEvents;
 		}
 
 		void send(TrackedUpstream chosen) {
@@ -270,7 +266,7 @@
 
 		@Override
 		public String requestId() {
-			return "r" + this.arrived;
+			return "r" + this.arrivedMillis;
 		}
 
 		@Override
@@ -279,21 +275,19 @@
 		}
 
 		@Override
-		public void granted(int upstreamKey, boolean yields) {
+		public void granted(int upstreamKey, boolean preempts) {
 			send(this.entry.registry.byKey(upstreamKey).orElseThrow());
 		}
 
 		@Override
 		public void dispatcherTimedOut() {
-			this.entry.placeHere(this);
+			this.entry.placeLocally(this);
 		}
 
 	}
 
-	/**
-	 * What one entry knows and does.
-	 */
-	private final class Entry implements DispatchClient.Channel {
+	/** The state and behaviour of one entry. */
+	private final class Entry implements DispatchClient.Transport {
 
 		private final String name;
 
@@ -301,33 +295,34 @@
 
 		private final Placement placement;
 
-		private final DispatchClient client = DispatchClient.of(FleetPlay.this.time, FleetPlay.this.time, this);
+		private final DispatchClient client = DispatchClient.of(FleetSimulation.this.time, FleetSimulation.this.time,
+				this);
 
-		private final UnreportedPlacements unreported = UnreportedPlacements.of(FleetPlay.this.time,
-				Duration.ofMillis(NEWS_MILLIS / 2), () -> FleetPlay.this.entries.size() - 1);
+		private final UnreportedPlacements unreported = UnreportedPlacements.of(FleetSimulation.this.time,
+				Duration.ofMillis(REPORT_INTERVAL_MILLIS / 2), () -> FleetSimulation.this.entries.size() - 1);
 
-		private final Deque<Request> line = new ArrayDeque<>();
+		private final Deque<Request> queue = new ArrayDeque<>();
 
-		private final int phase = FleetPlay.this.random.nextInt(NEWS_MILLIS);
+		private final int phase = FleetSimulation.this.random.nextInt(REPORT_INTERVAL_MILLIS);
 
 		private final List<TrackedUpstream> fleet = fleet(this.registry);
 
-		private final Heard heard = new Heard(this.registry);
+		private final ObservedLoads peerLoads = new ObservedLoads(this.registry);
 
-		private long grantsSeen;
+		private long lastGrantSeen;
 
 		Entry(String name, int domain) {
 			this.name = name;
-			this.placement = Placement.of("d" + domain, FleetPlay.this.time, FleetPlay.this.random);
+			this.placement = Placement.of("d" + domain, FleetSimulation.this.time, FleetSimulation.this.random);
 		}
 
-		void round() {
-			if (FleetPlay.this.now % NEWS_MILLIS == this.phase) {
+		void tick() {
+			if (FleetSimulation.this.nowMillis % REPORT_INTERVAL_MILLIS == this.phase) {
 				int[] loads = loads();
-				FleetPlay.this.entries.stream()
+				FleetSimulation.this.entries.stream()
 					.filter((other) -> other != this)
-					.forEach((other) -> other.heard.replace(this, loads));
-				tellDispatcher();
+					.forEach((other) -> other.peerLoads.update(this, loads));
+				reportToDispatcher();
 			}
 			drain();
 		}
@@ -337,19 +332,20 @@
 		}
 
 		void arrive() {
-			FleetPlay.this.requests++;
+			FleetSimulation.this.requests++;
 			Request request = new Request(this);
-			long goal = FleetPlay.this.time.nanos() + Duration.ofMillis(SEND_MILLIS).toNanos();
-			boolean asked = FleetPlay.this.dispatching && SlotSharing.slotsScarce(this.registry.serving(SERVICE))
-					&& this.client.requestSlot(request, SERVICE, Set.of(), goal);
-			if (!asked) {
-				placeHere(request);
+			long startTargetNanos = FleetSimulation.this.time.nanos() + Duration.ofMillis(SEND_TARGET_MILLIS).toNanos();
+			boolean requested = FleetSimulation.this.dispatching
+					&& SlotSharing.slotsScarce(this.registry.serving(SERVICE))
+					&& this.client.requestSlot(request, SERVICE, Set.of(), startTargetNanos);
+			if (!requested) {
+				placeLocally(request);
 			}
 		}
 
-		void placeHere(Request request) {
+		void placeLocally(Request request) {
 			if (!tryPlace(request)) {
-				this.line.add(request);
+				this.queue.add(request);
 			}
 		}
 
@@ -361,21 +357,22 @@
 		}
 
 		void drain() {
-			while (!this.line.isEmpty() && tryPlace(this.line.peek())) {
-				this.line.remove();
+			while (!this.queue.isEmpty() && tryPlace(this.queue.peek())) {
+				this.queue.remove();
 			}
 		}
 
 		void loadChanged() {
-			if (FleetPlay.this.dispatching && SlotSharing.slotsScarce(this.registry.serving(SERVICE))) {
-				tellDispatcher();
+			if (FleetSimulation.this.dispatching && SlotSharing.slotsScarce(this.registry.serving(SERVICE))) {
+				reportToDispatcher();
 			}
 		}
 
-		private void tellDispatcher() {
+		private void reportToDispatcher() {
 			int[] loads = loads();
-			long through = this.grantsSeen;
-			FleetPlay.this.time.schedule(WAY, () -> FleetPlay.this.dispatcher.hear(this, loads, through));
+			long lastGrant = this.lastGrantSeen;
+			FleetSimulation.this.time.schedule(LATENCY,
+					() -> FleetSimulation.this.dispatcher.receiveReport(this, loads, lastGrant));
 		}
 
 		@Override
@@ -384,62 +381,60 @@
 		}
 
 		@Override
-		public void ask(String to, DispatchClient.SlotQuery question) {
-			SlotRequest request = new SlotRequest(this.name, question.number(), question.requestId(),
-					question.service(), "d0", question.except(), question.prompt(), FleetPlay.this.time.nanos(),
-					FleetPlay.this.time.nanos() + question.toGoal().toNanos());
-			FleetPlay.this.time.schedule(WAY, () -> FleetPlay.this.dispatcher.ask(request));
+		public void send(String dispatcherName, DispatchClient.SlotQuery query) {
+			SlotRequest request = new SlotRequest(this.name, query.number(), query.requestId(), query.service(), "d0",
+					query.excluded(), query.prefixAffinity(), FleetSimulation.this.time.nanos(),
+					FleetSimulation.this.time.nanos() + query.untilStartTarget().toNanos());
+			FleetSimulation.this.time.schedule(LATENCY, () -> FleetSimulation.this.dispatcher.receiveRequest(request));
 		}
 
 	}
 
-	/**
-	 * The process that gives out slots.
-	 */
-	private final class DispatchingProcess implements Dispatcher.Answers {
+	/** The process that runs the dispatcher. */
+	private final class DispatchingProcess implements Dispatcher.AnswerSink {
 
 		private final UpstreamRegistry registry = registry();
 
-		private final Dispatcher decisions = Dispatcher.of(this.registry, FleetPlay.this.time, FleetPlay.this.random, 0,
-				this);
+		private final Dispatcher dispatcher = Dispatcher.of(this.registry, FleetSimulation.this.time,
+				FleetSimulation.this.random, 0, this);
 
-		private final Heard heard = new Heard(this.registry);
+		private final ObservedLoads entryLoads = new ObservedLoads(this.registry);
 
 		private boolean stopped() {
-			return FleetPlay.this.now >= FleetPlay.this.dispatcherStopsMillis;
+			return FleetSimulation.this.nowMillis >= FleetSimulation.this.dispatcherStopsMillis;
 		}
 
-		void hear(Entry entry, int[] loads, long through) {
+		void receiveReport(Entry entry, int[] loads, long lastGrant) {
 			if (!stopped()) {
-				this.heard.replace(entry, loads);
-				this.decisions.seen(entry.name, through);
-				this.decisions.expire();
-				this.decisions.changed();
+				this.entryLoads.update(entry, loads);
+				this.dispatcher.grantsCounted(entry.name, lastGrant);
+				this.dispatcher.expire();
+				this.dispatcher.loadsChanged();
 			}
 		}
 
-		void ask(SlotRequest request) {
+		void receiveRequest(SlotRequest request) {
 			if (!stopped()) {
-				this.decisions.ask(request);
+				this.dispatcher.handle(request);
 			}
 		}
 
 		private Entry entry(SlotRequest request) {
-			return FleetPlay.this.entries.get(Integer.parseInt(request.entry().substring(1)));
+			return FleetSimulation.this.entries.get(Integer.parseInt(request.entry().substring(1)));
 		}
 
 		@Override
-		public void granted(SlotRequest request, GrantLedger.Grant grant, boolean yields) {
+		public void granted(SlotRequest request, GrantLedger.Grant grant, boolean preempts) {
 			Entry entry = entry(request);
-			FleetPlay.this.time.schedule(WAY, () -> {
-				entry.grantsSeen = Math.max(entry.grantsSeen, grant.number());
-				entry.client.granted(request.number(), grant.upstream().key(), yields);
+			FleetSimulation.this.time.schedule(LATENCY, () -> {
+				entry.lastGrantSeen = Math.max(entry.lastGrantSeen, grant.number());
+				entry.client.granted(request.number(), grant.upstream().key(), preempts);
 			});
 		}
 
 		@Override
-		public void waits(SlotRequest request) {
-			FleetPlay.this.time.schedule(WAY, () -> entry(request).client.waits(request.number()));
+		public void queued(SlotRequest request) {
+			FleetSimulation.this.time.schedule(LATENCY, () -> entry(request).client.queued(request.number()));
 		}
 
 	}
