--- a/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/Attempt.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/Attempt.java
@@ -24,12 +24,16 @@
 import org.ragworthook.gateway.upstream.WorkClass;
 
 /**
- * One try of a request at one upstream. Counts the upstream's load from the choice to the
- * end, and keeps the events in order when a stream is resumed.
+ * One attempt to send a request to an upstream. Counts towards the upstream's load until
+ * it ends, and drops events that the caller already has when a stream is resumed. Used on
+ * the event loop of its connection.
  */
 public final class Attempt implements ResponseListener {
 
-	/** Another upstream has the address, and did not run the request. */
+	/**
+	 * Sent by an upstream that the request was not addressed to, which did not execute
+	 * it.
+	 */
 	private static final int MISDIRECTED = 421;
 
 	private static final int OK = 200;
@@ -48,50 +52,51 @@
 
 	private final AttemptListener listener;
 
-	private final SseFrameDecoder splitter = SseFrameDecoder.start();
+	private final SseFrameDecoder decoder = SseFrameDecoder.create();
 
 	private ClientConnection connection;
 
 	private State state = State.CONNECTING;
 
-	private boolean events;
+	/** Whether the response is a stream of server-sent events. */
+	private boolean eventStream;
 
 	private boolean sent;
 
-	private long lastEvent;
+	private long lastEventId;
 
-	/** Whether an event was missing; nothing after it may be passed on. */
+	/** Whether an event was missing; no event after it may be forwarded. */
 	private boolean gap;
 
-	/** The status of an answer that says that the request was not run. */
-	private int refusal;
+	/** The status of a response that states that the request was not executed. */
+	private int rejectionStatus;
 
-	private Attempt(TrackedUpstream upstream, WorkClass work, ConnectionPool pool, HeaderNames names, long lastEvent,
+	private Attempt(TrackedUpstream upstream, WorkClass work, ConnectionPool pool, HeaderNames names, long lastEventId,
 			AttemptListener listener) {
 		this.upstream = upstream;
 		this.work = work;
 		this.pool = pool;
 		this.address = upstream.descriptor().address();
 		this.names = names;
-		this.lastEvent = lastEvent;
+		this.lastEventId = lastEventId;
 		this.listener = listener;
 	}
 
 	/**
 	 * Starts an attempt.
-	 * @param upstream where to send the request
-	 * @param work who waits for it
-	 * @param pool gives the connection
+	 * @param upstream the upstream to send the request to
+	 * @param work the class of work that the request counts as in the upstream's load
+	 * @param pool the pool that the connection is taken from
 	 * @param names the names of headers
-	 * @param request makes the request, once a connection is there
-	 * @param requestId the id that the answer must repeat
-	 * @param lastEvent the last event that is known already, or 0
-	 * @param listener takes the answer
+	 * @param request creates the request, once the connection is open
+	 * @param requestId the request id, which the response must repeat
+	 * @param lastEventId the id of the last event that was received before, or 0
+	 * @param listener receives the response
 	 * @return the attempt
 	 */
 	public static Attempt start(TrackedUpstream upstream, WorkClass work, ConnectionPool pool, HeaderNames names,
-			RequestFactory request, String requestId, long lastEvent, AttemptListener listener) {
-		Attempt attempt = new Attempt(upstream, work, pool, names, lastEvent, listener);
+			RequestFactory request, String requestId, long lastEventId, AttemptListener listener) {
+		Attempt attempt = new Attempt(upstream, work, pool, names, lastEventId, listener);
 		upstream.begin(work);
 		pool.acquire(attempt.address, (connection) -> attempt.connected(connection, request, requestId));
 		return attempt;
@@ -110,7 +115,7 @@
 		this.connection = opened.get();
 		this.state = State.WAITING;
 		this.sent = true;
-		FullHttpRequest message = request.make();
+		FullHttpRequest message = request.create();
 		message.headers()
 			.set(this.names.expectedUpstream(), this.upstream.descriptor().id())
 			.set(this.names.requestId(), requestId);
@@ -118,12 +123,12 @@
 	}
 
 	/**
-	 * Makes a request with the headers of one that was received.
+	 * Creates an HTTP request.
 	 * @param method the HTTP method
-	 * @param uri path and query
-	 * @param headers the headers to pass on
+	 * @param uri the path and the query
+	 * @param headers the headers, which are copied
 	 * @param body the body
-	 * @return the request, with its length stated
+	 * @return the request, with {@code Content-Length} unless it is a GET without a body
 	 */
 	public static FullHttpRequest newRequest(String method, String uri, HttpHeaders headers, byte[] body) {
 		DefaultHttpHeaders copy = new DefaultHttpHeaders(false);
@@ -136,7 +141,7 @@
 	}
 
 	/**
-	 * Returns where the request is.
+	 * Returns the upstream of this attempt.
 	 * @return the upstream
 	 */
 	public TrackedUpstream upstream() {
@@ -144,33 +149,35 @@
 	}
 
 	/**
-	 * Tells whether the request was handed to the connection.
-	 * @return whether the upstream may have it
+	 * Returns whether the request was written to a connection.
+	 * @return whether the upstream may have received it
 	 */
 	public boolean sent() {
 		return this.sent;
 	}
 
 	/**
-	 * Returns the last event that was passed on.
-	 * @return its id, or 0
+	 * Returns the id of the last event that was passed to the listener or received
+	 * before.
+	 * @return the id, or 0 if there is none
 	 */
 	public long lastEventId() {
-		return this.lastEvent;
+		return this.lastEventId;
 	}
 
 	/**
-	 * Stops or goes on reading the answer.
+	 * Resumes or pauses reading the response.
 	 * @param on whether to read
 	 */
-	public void read(boolean on) {
+	public void autoRead(boolean on) {
 		if (this.connection != null && this.state == State.ANSWERING) {
-			this.connection.read(on);
+			this.connection.autoRead(on);
 		}
 	}
 
 	/**
-	 * Gives the attempt up. The connection is closed, which stops the upstream's work.
+	 * Cancels the attempt and closes its connection, upon which the upstream stops its
+	 * work. The listener is not called any more.
 	 */
 	public void cancel() {
 		if (this.state == State.ENDED) {
@@ -179,16 +186,16 @@
 		ClientConnection open = this.connection;
 		finish();
 		if (open != null) {
-			open.abandon();
+			open.close();
 		}
 	}
 
 	@Override
 	public void head(HttpResponse head) {
-		boolean notRun = head.status().code() == MISDIRECTED || head.headers().contains(this.names.notExecuted());
-		if (notRun) {
+		boolean notExecuted = head.status().code() == MISDIRECTED || head.headers().contains(this.names.notExecuted());
+		if (notExecuted) {
 			this.state = State.REFUSED;
-			this.refusal = head.status().code();
+			this.rejectionStatus = head.status().code();
 			return;
 		}
 		if (!head.headers().contains(this.names.signature())) {
@@ -199,7 +206,7 @@
 		this.upstream.recordSuccess();
 		this.state = State.ANSWERING;
 		String type = head.headers().get(HttpHeaderNames.CONTENT_TYPE);
-		this.events = head.status().code() == OK && type != null && type.startsWith(EVENT_STREAM);
+		this.eventStream = head.status().code() == OK && type != null && type.startsWith(EVENT_STREAM);
 		this.listener.head(head);
 	}
 
@@ -208,8 +215,8 @@
 		if (this.state != State.ANSWERING) {
 			return;
 		}
-		if (this.events) {
-			this.splitter.feed(data, this::event);
+		if (this.eventStream) {
+			this.decoder.decode(data, this::event);
 			return;
 		}
 		byte[] bytes = new byte[data.readableBytes()];
@@ -223,14 +230,14 @@
 		}
 		Optional<Long> id = SseFrameDecoder.id(event);
 		if (id.isPresent()) {
-			if (id.get() <= this.lastEvent) {
+			if (id.get() <= this.lastEventId) {
 				return;
 			}
-			if (id.get() != this.lastEvent + 1) {
+			if (id.get() != this.lastEventId + 1) {
 				this.gap = true;
 				return;
 			}
-			this.lastEvent = id.get();
+			this.lastEventId = id.get();
 		}
 		this.listener.data(event);
 	}
@@ -238,41 +245,41 @@
 	@Override
 	public void complete() {
 		if (this.state == State.REFUSED) {
-			giveBack();
-			this.listener.notExecuted(this.refusal);
+			releaseConnection();
+			this.listener.notExecuted(this.rejectionStatus);
 			return;
 		}
 		if (this.state != State.ANSWERING) {
 			return;
 		}
-		if (this.gap || (this.events && this.splitter.midway())) {
+		if (this.gap || (this.eventStream && this.decoder.hasPartialEvent())) {
 			cancel();
 			this.listener.failed(SendFailure.MALFORMED);
 			return;
 		}
-		giveBack();
+		releaseConnection();
 		this.listener.complete();
 	}
 
 	@Override
 	public void failed(SendFailure failure) {
-		boolean refused = this.state == State.REFUSED;
+		boolean rejected = this.state == State.REFUSED;
 		if (this.state == State.ENDED) {
 			return;
 		}
 		finish();
-		if (refused) {
-			this.listener.notExecuted(this.refusal);
+		if (rejected) {
+			this.listener.notExecuted(this.rejectionStatus);
 		}
 		else {
 			this.listener.failed(failure);
 		}
 	}
 
-	private void giveBack() {
-		ClientConnection free = this.connection;
+	private void releaseConnection() {
+		ClientConnection released = this.connection;
 		finish();
-		this.pool.release(this.address, free);
+		this.pool.release(this.address, released);
 	}
 
 	private void finish() {
@@ -287,16 +294,17 @@
 	}
 
 	/**
-	 * Makes the request when a connection is there, so that it states the time left then.
+	 * Creates the request when the connection is open, so that the request states the
+	 * time that is left at that moment.
 	 */
 	@FunctionalInterface
 	public interface RequestFactory {
 
 		/**
-		 * Makes the request.
+		 * Creates the request.
 		 * @return a new request
 		 */
-		FullHttpRequest make();
+		FullHttpRequest create();
 
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/AttemptListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/AttemptListener.java
@@ -4,36 +4,38 @@
 import org.ragworthook.gateway.http.SendFailure;
 
 /**
- * Takes what an upstream answers to one attempt.
+ * Receives the response of an upstream to one attempt. Called on the event loop of the
+ * attempt's connection; one of {@link #complete}, {@link #notExecuted} and
+ * {@link #failed} is called last, once, unless the attempt is cancelled.
  */
 public interface AttemptListener {
 
 	/**
-	 * Takes the head of an answer that is to be passed on.
-	 * @param head the head
+	 * Called with the status and the headers of a response that is to be forwarded.
+	 * @param head the head of the response
 	 */
 	void head(HttpResponse head);
 
 	/**
-	 * Takes bytes of the body that may be passed on.
-	 * @param data the bytes; whole events if the answer is a stream
+	 * Called with bytes of the body that may be forwarded.
+	 * @param data the bytes; one complete event if the response is an event stream
 	 */
 	void data(byte[] data);
 
 	/**
-	 * Learns that the answer is complete.
+	 * Called when the response is complete.
 	 */
 	void complete();
 
 	/**
-	 * Learns that the upstream did not run the request and says so.
-	 * @param status its status
+	 * Called when the upstream has stated that it did not execute the request.
+	 * @param status the HTTP status of its response
 	 */
 	void notExecuted(int status);
 
 	/**
-	 * Learns that no complete answer comes.
-	 * @param failure what is known of the request
+	 * Called when the attempt has ended without a complete response.
+	 * @param failure whether the request may have been executed
 	 */
 	void failed(SendFailure failure);
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/attempt/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One try of a request, online or of a batch job, at one upstream.
+ * A single attempt to send a request, online or of a batch job, to one upstream.
  */
 package org.ragworthook.gateway.attempt;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/HeaderNames.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/HeaderNames.java
@@ -8,22 +8,26 @@
 /**
  * The names of the headers that callers and upstreams use.
  *
- * @param requestId names one attempt of a caller; upstreams repeat it
- * @param deadlineMillis how many milliseconds the answer is waited for
- * @param promptParts the parts of the prompt in order, for reuse of what is kept of them
- * @param lastEventId after which event a stream goes on
- * @param signature proves that an answer is the upstream's
- * @param expectedUpstream the id of the upstream that is to run the request
- * @param notExecuted states that the upstream did not run the request
- * @param waitMillis how long a read may be kept waiting
- * @param key the key of the caller's account; never passed on
- * @param account tells an upstream whose request it is
+ * @param requestId id of a request; a caller chooses a new one for each of its attempts,
+ * and upstreams repeat it in the response
+ * @param deadlineMillis milliseconds after which the caller no longer waits for the
+ * response
+ * @param promptParts the parts of the prompt in order, by which an upstream finds those
+ * that it has cached
+ * @param lastEventId id of the last event received; the stream resumes after it
+ * @param signature proves that a response was sent by the upstream
+ * @param expectedUpstream id of the upstream that the request is addressed to
+ * @param notExecuted states that the upstream did not execute the request
+ * @param waitMillis milliseconds that a read of results may wait for new ones
+ * @param apiKey key of the caller's account; never forwarded
+ * @param account name of the account that the request belongs to, for upstreams
  */
 public record HeaderNames(String requestId, String deadlineMillis, String promptParts, String lastEventId,
-		String signature, String expectedUpstream, String notExecuted, String waitMillis, String key, String account) {
+		String signature, String expectedUpstream, String notExecuted, String waitMillis, String apiKey,
+		String account) {
 
 	/**
-	 * Checks that all names are there.
+	 * Checks that no name is null.
 	 */
 	public HeaderNames {
 		Objects.requireNonNull(requestId, "requestId is null");
@@ -34,17 +38,18 @@
 		Objects.requireNonNull(expectedUpstream, "expectedUpstream is null");
 		Objects.requireNonNull(notExecuted, "notExecuted is null");
 		Objects.requireNonNull(waitMillis, "waitMillis is null");
-		Objects.requireNonNull(key, "key is null");
+		Objects.requireNonNull(apiKey, "apiKey is null");
 		Objects.requireNonNull(account, "account is null");
 	}
 
 	/**
-	 * Puts an account in the place of a key, whatever the caller sent as its account.
-	 * @param headers the headers that an upstream is to get
+	 * Removes the key and any account that the caller stated, and sets the account that
+	 * the request belongs to.
+	 * @param headers the headers that are sent to an upstream
 	 * @param name the account's name, or empty for a request that belongs to none
 	 */
 	public void replaceKeyWithAccount(HttpHeaders headers, Optional<String> name) {
-		headers.remove(this.key);
+		headers.remove(this.apiKey);
 		headers.remove(this.account);
 		name.ifPresent((present) -> headers.set(this.account, present));
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/JobFormat.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/JobFormat.java
@@ -7,33 +7,33 @@
 import org.ragworthook.gateway.job.JobItem;
 
 /**
- * The format of the calls about batch jobs.
+ * The format of requests about batch jobs and of their responses.
  */
 public interface JobFormat {
 
 	/**
-	 * Reads a call.
+	 * Parses a request about a job that was submitted before.
 	 * @param method the HTTP method
 	 * @param uri the path with the query
-	 * @return the call, or empty if the path is not one of these calls
+	 * @return the request, or empty if method and path are not those of such a request
 	 */
-	Optional<JobCall> call(String method, String uri);
+	Optional<JobRequest> parseRequest(String method, String uri);
 
 	/**
-	 * Reads the items that are submitted.
-	 * @param body the body of the call
+	 * Parses the items of a submitted job.
+	 * @param body the body of the request
 	 * @return the items
 	 * @throws org.ragworthook.core.error.JobException if the body is malformed
 	 */
-	List<JobItem> items(byte[] body);
+	List<JobItem> parseItems(byte[] body);
 
 	/**
-	 * Writes results.
-	 * @param total how many items the job has
-	 * @param position the position of the first result
+	 * Formats a page of results.
+	 * @param total the number of items of the job
+	 * @param position the position of the first result, from 0
 	 * @param results the results
-	 * @return the body of the answer
+	 * @return the body of the response
 	 */
-	byte[] results(int total, int position, List<ItemOutcome> results);
+	byte[] formatResults(int total, int position, List<ItemOutcome> results);
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/PromptFormat.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/PromptFormat.java
@@ -5,17 +5,17 @@
 import org.ragworthook.gateway.upstream.PromptSegment;
 
 /**
- * The format in which a request states the parts of its prompt.
+ * The format of the header that states the parts of a prompt.
  */
 @FunctionalInterface
 public interface PromptFormat {
 
 	/**
-	 * Reads the parts.
+	 * Parses the header.
 	 * @param header the value of the header
-	 * @return the parts in order; none if they cannot be understood, since a request is
+	 * @return the parts in order; empty if the header is malformed, since the request is
 	 * served all the same
 	 */
-	List<PromptSegment> parts(String header);
+	List<PromptSegment> parse(String header);
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dialect/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an adapter provides: the names of headers and the formats of calls, which differ
- * from platform to platform and decide nothing.
+ * The names of headers and the formats of requests, which differ between platforms. An
+ * adapter provides them; they contain no decisions of their own.
  */
 package org.ragworthook.gateway.dialect;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/event/SseFrameDecoder.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/event/SseFrameDecoder.java
@@ -8,54 +8,56 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a stream of server-sent events into complete events.
  * <p>
- * An upstream may stop in the middle of an event. Had its first half been passed on, no
- * other upstream could go on after it; a caller would see a broken event. So an event is
- * passed on once its end has come.
+ * An upstream may stop in the middle of an event. If a part of the event had been
+ * forwarded, no other upstream could continue after it, and the caller would receive a
+ * malformed event. An event is therefore passed on only once its end has been received.
  */
 public final class SseFrameDecoder {
 
-	private static final int FIRST_CAPACITY = 512;
+	private static final int INITIAL_CAPACITY = 512;
 
-	private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
+	private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
-	private static final byte[] DATA = "data:".getBytes(StandardCharsets.US_ASCII);
+	private static final byte[] DATA_FIELD = "data:".getBytes(StandardCharsets.US_ASCII);
 
-	private byte[] pending = new byte[FIRST_CAPACITY];
+	/** The bytes that are not passed on yet, up to {@link #length}. */
+	private byte[] pending = new byte[INITIAL_CAPACITY];
 
 	private int length;
 
+	/** Position up to which {@link #pending} holds no end of an event. */
 	private int scanned;
 
 	private SseFrameDecoder() {
 	}
 
 	/**
-	 * Returns a splitter at the start of a stream.
-	 * @return a new splitter
+	 * Creates a decoder for a stream.
+	 * @return the decoder
 	 */
-	public static SseFrameDecoder start() {
+	public static SseFrameDecoder create() {
 		return new SseFrameDecoder();
 	}
 
 	/**
-	 * Takes bytes and passes on the events that are whole now.
-	 * @param data the bytes, read to their end
-	 * @param sink takes each event in order
+	 * Appends bytes of the stream and passes on the events that are now complete.
+	 * @param data the bytes, which are read completely
+	 * @param sink receives the events in order
 	 */
-	public void feed(ByteBuf data, Sink sink) {
+	public void decode(ByteBuf data, Sink sink) {
 		Objects.requireNonNull(sink, "sink is null");
-		int more = data.readableBytes();
-		if (this.length + more > this.pending.length) {
-			this.pending = Arrays.copyOf(this.pending, Math.max(this.pending.length * 2, this.length + more));
+		int added = data.readableBytes();
+		if (this.length + added > this.pending.length) {
+			this.pending = Arrays.copyOf(this.pending, Math.max(this.pending.length * 2, this.length + added));
 		}
-		data.readBytes(this.pending, this.length, more);
-		this.length += more;
+		data.readBytes(this.pending, this.length, added);
+		this.length += added;
 		int start = 0;
 		for (int at = Math.max(this.scanned, 0); at < this.length; at++) {
 			if (this.pending[at] == '\n' && endsEvent(start, at)) {
-				pass(start, at + 1, sink);
+				passOn(start, at + 1, sink);
 				start = at + 1;
 			}
 		}
@@ -67,10 +69,10 @@
 	}
 
 	/**
-	 * Tells whether a part of an event has come and its end has not.
-	 * @return whether bytes are held back
+	 * Returns whether the last event is incomplete.
+	 * @return whether bytes were received that are not passed on yet
 	 */
-	public boolean midway() {
+	public boolean hasPartialEvent() {
 		return this.length > 0;
 	}
 
@@ -84,34 +86,34 @@
 		return at - 2 >= start && this.pending[at - 1] == '\r' && this.pending[at - 2] == '\n';
 	}
 
-	private void pass(int start, int end, Sink sink) {
+	private void passOn(int start, int end, Sink sink) {
 		sink.event(Arrays.copyOfRange(this.pending, start, end));
 	}
 
 	/**
-	 * Reads the id of an event.
+	 * Parses the id of an event.
 	 * @param event the bytes of the event
-	 * @return the id, or empty if it has none that is a number
+	 * @return the id, or empty if the event has no numeric id
 	 */
 	public static Optional<Long> id(byte[] event) {
 		for (int at = 0; at >= 0; at = nextLine(event, at)) {
-			if (startsWith(event, at, ID)) {
-				return number(event, at + ID.length);
+			if (startsWith(event, at, ID_FIELD)) {
+				return number(event, at + ID_FIELD.length);
 			}
 		}
 		return Optional.empty();
 	}
 
 	/**
-	 * Reads the data of an event.
+	 * Parses the data of an event.
 	 * @param event the bytes of the event
-	 * @return its data lines, joined by line feeds, or empty if it has none
+	 * @return the data lines, joined by line feeds, or empty if the event has none
 	 */
 	public static Optional<String> data(byte[] event) {
 		StringBuilder text = null;
 		for (int at = 0; at >= 0; at = nextLine(event, at)) {
-			if (startsWith(event, at, DATA)) {
-				int from = at + DATA.length;
+			if (startsWith(event, at, DATA_FIELD)) {
+				int from = at + DATA_FIELD.length;
 				if (from < event.length && event[from] == ' ') {
 					from++;
 				}
@@ -135,8 +137,8 @@
 		return -1;
 	}
 
-	private static boolean startsWith(byte[] event, int at, byte[] word) {
-		return at + word.length <= event.length && Arrays.equals(event, at, at + word.length, word, 0, word.length);
+	private static boolean startsWith(byte[] event, int at, byte[] field) {
+		return at + field.length <= event.length && Arrays.equals(event, at, at + field.length, field, 0, field.length);
 	}
 
 	private static Optional<Long> number(byte[] event, int from) {
@@ -154,14 +156,14 @@
 	}
 
 	/**
-	 * Takes events.
+	 * Receives complete events.
 	 */
 	@FunctionalInterface
 	public interface Sink {
 
 		/**
-		 * Takes an event.
-		 * @param event its bytes with the empty line that ends it
+		 * Called with a complete event.
+		 * @param event the bytes of the event, including the empty line that ends it
 		 */
 		void event(byte[] event);
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/event/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/event/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Server-sent events as far as passing them on whole and resuming them needs.
+ * Splits streams of server-sent events, as far as forwarding and resuming them requires.
  */
 package org.ragworthook.gateway.event;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/HttpAnswer.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/BufferedResponse.java
@@ -3,11 +3,11 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A whole answer.
+ * A complete HTTP response, held in memory.
  *
  * @param status the HTTP status
  * @param headers the headers
  * @param body the body
  */
-public record HttpAnswer(int status, HttpHeaders headers, byte[] body) {
+public record BufferedResponse(int status, HttpHeaders headers, byte[] body) {
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/ClientConnection.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/ClientConnection.java
@@ -18,12 +18,13 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * A connection that carries one request at a time. All calls are made on its event loop.
+ * A client connection that carries one request at a time. Used on its event loop.
  * <p>
- * An upstream may send an answer that nobody asked for: a second copy of an earlier one,
- * late. Taken as it comes, it would be passed to the next caller. Answers are therefore
- * matched by the id that they repeat: one of another request is skipped and the awaited
- * one follows it, and bytes on a connection without a request close it.
+ * An upstream may send a duplicate of an earlier response late. If the duplicate were
+ * taken for the response to the current request, it would be forwarded to the wrong
+ * caller. Responses are therefore matched by the request id that they repeat: a response
+ * with another id is skipped until the expected one follows, and bytes that arrive while
+ * there is no request close the connection.
  */
 public final class ClientConnection extends ChannelInboundHandlerAdapter {
 
@@ -31,12 +32,15 @@
 
 	private final Channel channel;
 
-	private final String idHeader;
+	private final String requestIdHeader;
 
+	/** The request in progress, or {@code null} if there is none. */
 	private Exchange exchange;
 
+	/** Completes when the last request has been written, or {@code null} before any. */
 	private ChannelFuture written;
 
+	/** Whether the response that is being read is skipped. */
 	private boolean skipping;
 
 	private boolean reset;
@@ -45,16 +49,17 @@
 
 	private long idleLimitMillis = NO_LIMIT;
 
-	ClientConnection(Channel channel, String idHeader) {
+	ClientConnection(Channel channel, String requestIdHeader) {
 		this.channel = channel;
-		this.idHeader = idHeader;
+		this.requestIdHeader = requestIdHeader;
 	}
 
 	/**
 	 * Sends a request.
 	 * @param request the request
-	 * @param expectedId the id that the answer must repeat, or empty to take any
-	 * @param listener takes the answer
+	 * @param expectedId the request id that the response must repeat, or empty to accept
+	 * any response
+	 * @param listener receives the response
 	 */
 	public void send(FullHttpRequest request, Optional<String> expectedId, ResponseListener listener) {
 		Objects.requireNonNull(listener, "listener is null");
@@ -68,29 +73,29 @@
 	}
 
 	/**
-	 * Closes the connection. The request in progress is abandoned; its listener hears no
-	 * more.
+	 * Closes the connection and abandons the request in progress, whose listener is not
+	 * called any more.
 	 */
-	public void abandon() {
+	public void close() {
 		this.exchange = null;
 		this.reusable = false;
 		this.channel.close();
 	}
 
 	/**
-	 * Stops or goes on reading, so that a slow reader of the answer holds it back instead
-	 * of having it gathered in memory.
+	 * Resumes or pauses reading. Pausing applies back-pressure to the upstream while the
+	 * caller reads slowly, instead of buffering the response in memory.
 	 * @param on whether to read
 	 */
-	public void read(boolean on) {
+	public void autoRead(boolean on) {
 		this.channel.config().setAutoRead(on);
 	}
 
 	/**
-	 * Tells whether the connection can carry another request. An upstream may answer
-	 * before it has read a long body; until it has taken the rest, the connection is not
-	 * free.
-	 * @return whether it is open, without a request, and both sides keep it
+	 * Returns whether the connection can carry another request. An upstream may respond
+	 * before it has read a long body; the connection is not reusable until the rest has
+	 * been written.
+	 * @return whether the connection is open, idle and to be kept alive by both sides
 	 */
 	public boolean reusable() {
 		return this.reusable && this.exchange == null && !this.skipping && this.channel.isActive()
@@ -98,8 +103,8 @@
 	}
 
 	/**
-	 * Returns how long the connection may stay idle, as the other side stated.
-	 * @return milliseconds, or empty if it stated nothing
+	 * Returns the idle timeout that the server has stated in {@code Keep-Alive}.
+	 * @return milliseconds, or empty if the server has not stated any
 	 */
 	public Optional<Long> idleLimitMillis() {
 		return (this.idleLimitMillis == NO_LIMIT) ? Optional.empty() : Optional.of(this.idleLimitMillis);
@@ -141,7 +146,7 @@
 			fail(SendFailure.MALFORMED);
 			return;
 		}
-		String id = (this.exchange.expectedId != null) ? head.headers().get(this.idHeader) : null;
+		String id = (this.exchange.expectedId != null) ? head.headers().get(this.requestIdHeader) : null;
 		if (id != null && !id.equals(this.exchange.expectedId)) {
 			this.skipping = true;
 			return;
@@ -161,8 +166,8 @@
 			this.skipping = !last;
 			return;
 		}
-		Exchange present = this.exchange;
-		if (present == null || !present.answered) {
+		Exchange current = this.exchange;
+		if (current == null || !current.answered) {
 			return;
 		}
 		if (last && this.reset) {
@@ -170,11 +175,11 @@
 			return;
 		}
 		if (content.content().isReadable()) {
-			present.listener.content(content.content());
+			current.listener.content(content.content());
 		}
-		if (last && this.exchange == present) {
+		if (last && this.exchange == current) {
 			this.exchange = null;
-			present.listener.complete();
+			current.listener.complete();
 		}
 	}
 
@@ -194,8 +199,8 @@
 	}
 
 	/**
-	 * Notes a reset. The decoder ends an answer without a length when its connection
-	 * ends; after a reset that end is not the answer's.
+	 * Records a connection reset. The HTTP decoder takes the end of the connection for
+	 * the end of a response without a length, which it is not after a reset.
 	 */
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/ConnectionPool.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/ConnectionPool.java
@@ -24,32 +24,35 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Keeps connections for reuse, by address. Used on its event loop only.
+ * A pool of keep-alive connections by address. Used on its event loop only.
  * <p>
- * The other side closes a connection that was idle for too long. A request sent at that
- * moment is lost, and nobody can tell whether it ran; one notices by rare broken answers
- * of an otherwise healthy upstream. Connections are therefore given up before the other
- * side does so.
+ * A server closes connections that were idle for too long. A request that is sent at that
+ * moment is lost, and it is unknown whether it was executed; this shows as rare broken
+ * responses of an otherwise healthy upstream. The pool therefore closes idle connections
+ * before the server does.
  */
 public final class ConnectionPool implements AutoCloseable {
 
-	/** How long an idle connection is kept where the other side states nothing. */
-	private static final long UNSTATED_IDLE_MILLIS = 2_000;
+	/** Idle time after which a connection is closed if the server states no timeout. */
+	private static final long DEFAULT_IDLE_MILLIS = 2_000;
 
-	/** How much earlier than stated an idle connection is given up: some round trips. */
+	/**
+	 * How much earlier than the server's stated timeout an idle connection is closed:
+	 * some round trips.
+	 */
 	private static final long IDLE_MARGIN_MILLIS = 500;
 
-	/** Seconds of silence before the kernel probes a connection, and between probes. */
-	private static final int PROBE_SECONDS = 1;
+	/** Idle seconds before the first TCP keep-alive probe, and between probes. */
+	private static final int KEEP_ALIVE_PROBE_SECONDS = 1;
 
-	/** Probes without an answer after which the kernel gives a connection up. */
-	private static final int PROBES = 2;
+	/** Unanswered TCP keep-alive probes after which the kernel drops a connection. */
+	private static final int KEEP_ALIVE_PROBES = 2;
 
-	private static final int MAX_HEAD = 65_536;
+	private static final int MAX_HEADER_BYTES = 65_536;
 
-	private static final int MAX_CHUNK = 65_536;
+	private static final int MAX_CHUNK_BYTES = 65_536;
 
-	private static final int MAX_LINE = 8_192;
+	private static final int MAX_STATUS_LINE_BYTES = 8_192;
 
 	private final EventLoop loop;
 
@@ -57,111 +60,112 @@
 
 	private final Bootstrap bootstrap;
 
-	private final Map<Address, Deque<Idle>> idle = new HashMap<>();
+	private final Map<Address, Deque<IdleConnection>> idle = new HashMap<>();
 
-	private ConnectionPool(EventLoop loop, Ticker ticker, Duration connectTimeout, String idHeader) {
+	private ConnectionPool(EventLoop loop, Ticker ticker, Duration connectTimeout, String requestIdHeader) {
 		this.loop = Objects.requireNonNull(loop, "loop is null");
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.bootstrap = new Bootstrap().group(loop)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.option(ChannelOption.SO_KEEPALIVE, true)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_SECONDS)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_SECONDS)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_PROBE_SECONDS)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEP_ALIVE_PROBE_SECONDS)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBES)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeout.toMillis())
 			.handler(new ChannelInitializer<>() {
 
 				@Override
 				protected void initChannel(Channel channel) {
 					channel.pipeline()
-						.addLast(new HttpClientCodec(MAX_LINE, MAX_HEAD, MAX_CHUNK))
-						.addLast(new ClientConnection(channel, idHeader));
+						.addLast(new HttpClientCodec(MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
+						.addLast(new ClientConnection(channel, requestIdHeader));
 				}
 
 			});
 	}
 
 	/**
-	 * Returns a pool without connections.
-	 * @param loop the thread of its connections
-	 * @param ticker the time
-	 * @param connectTimeout how long a new connection may take
-	 * @param idHeader the header by which answers are matched to requests
-	 * @return a new pool
+	 * Creates an empty pool.
+	 * @param loop the event loop of the connections
+	 * @param ticker the monotonic clock
+	 * @param connectTimeout the time limit for opening a connection
+	 * @param requestIdHeader the name of the header by which responses are matched to
+	 * requests
+	 * @return the pool
 	 */
-	public static ConnectionPool of(EventLoop loop, Ticker ticker, Duration connectTimeout, String idHeader) {
-		return new ConnectionPool(loop, ticker, connectTimeout, idHeader);
+	public static ConnectionPool of(EventLoop loop, Ticker ticker, Duration connectTimeout, String requestIdHeader) {
+		return new ConnectionPool(loop, ticker, connectTimeout, requestIdHeader);
 	}
 
 	/**
-	 * Takes a connection from the pool or opens one.
-	 * @param address where to
-	 * @param taken gets the connection, or empty if none could be opened
+	 * Takes an idle connection from the pool or opens a new one.
+	 * @param address the server's address
+	 * @param consumer receives the connection, or empty if none could be opened
 	 */
-	public void acquire(Address address, Consumer<Optional<ClientConnection>> taken) {
-		Optional<ClientConnection> kept = kept(address);
-		if (kept.isPresent()) {
-			taken.accept(kept);
+	public void acquire(Address address, Consumer<Optional<ClientConnection>> consumer) {
+		Optional<ClientConnection> pooled = pollIdle(address);
+		if (pooled.isPresent()) {
+			consumer.accept(pooled);
 			return;
 		}
 		ChannelFuture connecting = this.bootstrap.connect(new InetSocketAddress(address.host(), address.port()));
-		connecting.addListener((done) -> taken.accept(done.isSuccess()
+		connecting.addListener((done) -> consumer.accept(done.isSuccess()
 				? Optional.of(connecting.channel().pipeline().get(ClientConnection.class)) : Optional.empty()));
 	}
 
-	private Optional<ClientConnection> kept(Address address) {
-		Deque<Idle> present = this.idle.get(address);
-		if (present == null) {
+	private Optional<ClientConnection> pollIdle(Address address) {
+		Deque<IdleConnection> connections = this.idle.get(address);
+		if (connections == null) {
 			return Optional.empty();
 		}
 		long now = this.ticker.nanos();
-		for (Idle next = present.pollLast(); next != null; next = present.pollLast()) {
-			if (next.connection().reusable() && next.untilNanos() - now > 0) {
+		for (IdleConnection next = connections.pollLast(); next != null; next = connections.pollLast()) {
+			if (next.connection().reusable() && next.expiryNanos() - now > 0) {
 				return Optional.of(next.connection());
 			}
-			next.connection().abandon();
+			next.connection().close();
 		}
 		return Optional.empty();
 	}
 
 	/**
-	 * Gives a connection back, to be used again if it can be.
-	 * @param address where it leads
-	 * @param connection the connection, without a request
+	 * Returns a connection to the pool, or closes it if it cannot be reused.
+	 * @param address the server's address
+	 * @param connection the connection, without a request in progress
 	 */
 	public void release(Address address, ClientConnection connection) {
 		if (!connection.reusable()) {
-			connection.abandon();
+			connection.close();
 			return;
 		}
-		long keep = connection.idleLimitMillis()
-			.map((limit) -> Math.max(limit / 2, limit - IDLE_MARGIN_MILLIS))
-			.orElse(UNSTATED_IDLE_MILLIS);
-		connection.read(true);
+		long idleMillis = connection.idleLimitMillis()
+			.map((stated) -> Math.max(stated / 2, stated - IDLE_MARGIN_MILLIS))
+			.orElse(DEFAULT_IDLE_MILLIS);
+		connection.autoRead(true);
 		this.idle.computeIfAbsent(address, (key) -> new ArrayDeque<>())
-			.addLast(new Idle(connection, this.ticker.nanos() + Duration.ofMillis(keep).toNanos()));
+			.addLast(new IdleConnection(connection, this.ticker.nanos() + Duration.ofMillis(idleMillis).toNanos()));
 	}
 
 	/**
-	 * Closes connections that were idle for too long.
+	 * Closes the connections whose idle time is over.
 	 */
 	public void evictIdle() {
 		long now = this.ticker.nanos();
 		this.idle.values().removeIf((connections) -> {
 			connections.removeIf((next) -> {
-				boolean over = !next.connection().reusable() || next.untilNanos() - now <= 0;
-				if (over) {
-					next.connection().abandon();
+				boolean expired = !next.connection().reusable() || next.expiryNanos() - now <= 0;
+				if (expired) {
+					next.connection().close();
 				}
-				return over;
+				return expired;
 			});
 			return connections.isEmpty();
 		});
 	}
 
 	/**
-	 * Returns the thread of the connections.
+	 * Returns the event loop of the connections.
 	 * @return the event loop
 	 */
 	public EventLoop loop() {
@@ -171,12 +175,12 @@
 	@Override
 	public void close() {
 		this.loop.execute(() -> {
-			this.idle.values().forEach((all) -> all.forEach((next) -> next.connection().abandon()));
+			this.idle.values().forEach((all) -> all.forEach((next) -> next.connection().close()));
 			this.idle.clear();
 		});
 	}
 
-	private record Idle(ClientConnection connection, long untilNanos) {
+	private record IdleConnection(ClientConnection connection, long expiryNanos) {
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/HttpCalls.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/PooledHttpClient.java
@@ -15,33 +15,33 @@
 import org.ragworthook.core.fleet.Address;
 
 /**
- * Calls whose answers are short and taken whole.
+ * Sends HTTP requests whose responses are short and held in memory.
  */
-public final class HttpCalls {
+public final class PooledHttpClient {
 
 	private final ConnectionPool pool;
 
-	private HttpCalls(ConnectionPool pool) {
+	private PooledHttpClient(ConnectionPool pool) {
 		this.pool = Objects.requireNonNull(pool, "pool is null");
 	}
 
 	/**
-	 * Returns calls over the connections of a pool.
-	 * @param pool the connections
-	 * @return the calls
+	 * Creates a client that uses the connections of a pool.
+	 * @param pool the pool
+	 * @return the client
 	 */
-	public static HttpCalls of(ConnectionPool pool) {
-		return new HttpCalls(pool);
+	public static PooledHttpClient of(ConnectionPool pool) {
+		return new PooledHttpClient(pool);
 	}
 
 	/**
-	 * Makes a call. May be used from any thread.
-	 * @param address where to
-	 * @param request the request, released by this call
-	 * @param timeout how long the answer may take, connecting included
-	 * @return the answer; fails with a {@link SendException}
+	 * Sends a request. May be called from any thread.
+	 * @param address the server's address
+	 * @param request the request, which is released by this method
+	 * @param timeout the time limit for the response, including the time to connect
+	 * @return the response; fails with a {@link SendException}
 	 */
-	public CompletableFuture<HttpAnswer> call(Address address, FullHttpRequest request, Duration timeout) {
+	public CompletableFuture<BufferedResponse> call(Address address, FullHttpRequest request, Duration timeout) {
 		Call call = new Call(address, request, timeout);
 		this.pool.loop().execute(call::start);
 		return call.result;
@@ -49,7 +49,7 @@
 
 	private final class Call implements ResponseListener {
 
-		private final CompletableFuture<HttpAnswer> result = new CompletableFuture<>();
+		private final CompletableFuture<BufferedResponse> result = new CompletableFuture<>();
 
 		private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
@@ -59,7 +59,7 @@
 
 		private final Duration timeout;
 
-		private final String name;
+		private final String description;
 
 		private ScheduledFuture<?> timer;
 
@@ -73,18 +73,18 @@
 			this.address = address;
 			this.request = request;
 			this.timeout = timeout;
-			this.name = request.method() + " " + request.uri();
+			this.description = request.method() + " " + request.uri();
 		}
 
 		void start() {
-			this.timer = HttpCalls.this.pool.loop()
+			this.timer = PooledHttpClient.this.pool.loop()
 				.schedule(this::timedOut, this.timeout.toMillis(), TimeUnit.MILLISECONDS);
-			HttpCalls.this.pool.acquire(this.address, this::connected);
+			PooledHttpClient.this.pool.acquire(this.address, this::connected);
 		}
 
 		private void connected(Optional<ClientConnection> opened) {
 			if (this.result.isDone()) {
-				opened.ifPresent((free) -> HttpCalls.this.pool.release(this.address, free));
+				opened.ifPresent((unused) -> PooledHttpClient.this.pool.release(this.address, unused));
 				this.request.release();
 				return;
 			}
@@ -99,7 +99,7 @@
 
 		private void timedOut() {
 			if (this.connection != null) {
-				this.connection.abandon();
+				this.connection.close();
 			}
 			failed((this.connection != null) ? SendFailure.BROKEN : SendFailure.NOT_SENT);
 		}
@@ -120,16 +120,16 @@
 		@Override
 		public void complete() {
 			this.timer.cancel(false);
-			HttpCalls.this.pool.release(this.address, this.connection);
-			this.result.complete(new HttpAnswer(this.status, this.headers, this.body.toByteArray()));
+			PooledHttpClient.this.pool.release(this.address, this.connection);
+			this.result.complete(new BufferedResponse(this.status, this.headers, this.body.toByteArray()));
 		}
 
 		@Override
 		public void failed(SendFailure failure) {
 			this.timer.cancel(false);
 			if (!this.result.isDone()) {
-				this.result.completeExceptionally(
-						new SendException(failure, this.name + " at " + this.address + " got no answer: " + failure));
+				this.result.completeExceptionally(new SendException(failure,
+						this.description + " at " + this.address + " got no response: " + failure));
 			}
 		}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/ResponseListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/ResponseListener.java
@@ -4,31 +4,32 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Takes the answer to one request. Called on the connection's event loop;
- * {@link #complete} or {@link #failed} comes last, once, unless the request is abandoned.
+ * Receives the response to one request. Called on the connection's event loop;
+ * {@link #complete} or {@link #failed} is called last, once, unless the connection is
+ * closed by its user before.
  */
 public interface ResponseListener {
 
 	/**
-	 * Takes the status and the headers.
-	 * @param head the head of the answer
+	 * Called with the status and the headers.
+	 * @param head the head of the response
 	 */
 	void head(HttpResponse head);
 
 	/**
-	 * Takes a part of the body.
-	 * @param data the bytes, valid during the call
+	 * Called with a part of the body.
+	 * @param data the bytes, valid only during the call
 	 */
 	void content(ByteBuf data);
 
 	/**
-	 * Learns that the whole answer has come.
+	 * Called when the response is complete.
 	 */
 	void complete();
 
 	/**
-	 * Learns that no complete answer comes.
-	 * @param failure what is known of the request
+	 * Called when the request has ended without a complete response.
+	 * @param failure whether the request may have been executed
 	 */
 	void failed(SendFailure failure);
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/SendException.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/SendException.java
@@ -1,8 +1,9 @@
 package org.ragworthook.gateway.http;
 
 /**
- * A call that got no complete answer. Whoever made the call turns it into an error with a
- * code, since only the caller knows what the lost answer means.
+ * Thrown when a request got no complete response. The caller of the HTTP client
+ * translates it to an error with a code, since only the caller knows what a lost response
+ * means.
  */
 public final class SendException extends RuntimeException {
 
@@ -11,9 +12,9 @@
 	private final SendFailure failure;
 
 	/**
-	 * Creates an error.
-	 * @param failure what is known of the call
-	 * @param detail which call, and how it ended
+	 * Creates an exception.
+	 * @param failure whether the request may have been executed
+	 * @param detail the request and how it failed
 	 */
 	public SendException(SendFailure failure, String detail) {
 		super(detail, null, false, false);
@@ -21,8 +22,8 @@
 	}
 
 	/**
-	 * Returns what is known of the call.
-	 * @return whether it may have taken effect
+	 * Returns whether the request may have been executed.
+	 * @return how the request failed
 	 */
 	public SendFailure failure() {
 		return this.failure;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/SendFailure.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/SendFailure.java
@@ -1,17 +1,20 @@
 package org.ragworthook.gateway.http;
 
 /**
- * What is known of a request that got no complete answer.
+ * How a request failed that got no complete response.
  */
 public enum SendFailure {
 
-	/** No byte of it was sent. */
+	/** No byte of the request was sent, so it was not executed. */
 	NOT_SENT,
 
-	/** It was sent; it may have run. */
+	/** The connection was lost after the request was sent; it may have been executed. */
 	BROKEN,
 
-	/** It was sent and bytes came back that are no answer to it; it may have run. */
+	/**
+	 * The request was sent and malformed or unexpected bytes were received; it may have
+	 * been executed.
+	 */
 	MALFORMED
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
@@ -71,7 +71,7 @@
 	 */
 	void authenticate(HttpServerRequest request, CallerResponse response, boolean anonymous, BooleanSupplier gone,
 			Consumer<Optional<ClientAccount>> granted) {
-		List<String> keys = request.headers().getAll(this.names.key());
+		List<String> keys = request.headers().getAll(this.names.apiKey());
 		if (!this.control.keyRequired() || (anonymous && keys.isEmpty())) {
 			granted.accept(Optional.empty());
 			return;
@@ -95,8 +95,8 @@
 				}
 				else {
 					recordRejection(request, "unknown_key", Optional.empty());
-					response.respond(UNAUTHORIZED, "the header " + this.names.key() + " has to hold one key in force",
-							Optional.empty());
+					response.respond(UNAUTHORIZED,
+							"the header " + this.names.apiKey() + " has to hold one key in force", Optional.empty());
 				}
 			}
 			case UNCONFIRMED -> {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/Frontend.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/Frontend.java
@@ -18,7 +18,7 @@
 import org.ragworthook.core.time.Ticker;
 import org.ragworthook.gateway.account.ClientAccount;
 import org.ragworthook.gateway.account.QuotaReservation;
-import org.ragworthook.gateway.dialect.JobCall;
+import org.ragworthook.gateway.dialect.JobRequest;
 import org.ragworthook.gateway.route.CallerLimits;
 import org.ragworthook.gateway.route.Configuration;
 import org.ragworthook.gateway.route.Route;
@@ -249,8 +249,8 @@
 		HttpServerRequest request = incoming.request;
 		String host = Optional.ofNullable(request.getHeader("Host")).orElse("");
 		Optional<Route> route = configuration.route(host, request.uri());
-		Optional<JobCall> call = route.isPresent() ? Optional.empty()
-				: this.jobs.format().call(request.method().name(), request.uri());
+		Optional<JobRequest> call = route.isPresent() ? Optional.empty()
+				: this.jobs.format().parseRequest(request.method().name(), request.uri());
 		if (route.isEmpty() && call.isEmpty()) {
 			LOG.info("no_route", "request", request.getHeader(this.context.headers().requestId()), "host", host, "path",
 					request.path(), "config", configuration.version());
@@ -349,7 +349,7 @@
 
 	private PrefixAffinity prompt(HttpServerRequest request) {
 		return Optional.ofNullable(request.getHeader(this.context.headers().promptParts()))
-			.map((parts) -> PrefixAffinity.of(this.context.promptFormat().parts(parts)))
+			.map((parts) -> PrefixAffinity.of(this.context.promptFormat().parse(parts)))
 			.orElse(PrefixAffinity.none());
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobRequestHandler.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobRequestHandler.java
@@ -14,8 +14,8 @@
 import org.ragworthook.core.error.Failures;
 import org.ragworthook.core.error.JobException;
 import org.ragworthook.core.log.EventLog;
-import org.ragworthook.gateway.dialect.JobCall;
 import org.ragworthook.gateway.dialect.JobFormat;
+import org.ragworthook.gateway.dialect.JobRequest;
 import org.ragworthook.gateway.job.Job;
 import org.ragworthook.gateway.job.JobIds;
 import org.ragworthook.gateway.job.JobItem;
@@ -79,7 +79,7 @@
 		String jobId = JobIds.qualified(account, callerJobId);
 		List<JobItem> items;
 		try {
-			items = this.format.items(body);
+			items = this.format.parseItems(body);
 			validate(callerJobId, items);
 		}
 		catch (JobException ex) {
@@ -116,39 +116,40 @@
 	 * @param wait how long a read of results may wait for new ones
 	 * @param response receives the response
 	 */
-	void handle(JobCall received, Optional<String> account, Duration wait, JobResponse response) {
-		JobCall call = new JobCall(received.action(), JobIds.qualified(account, received.jobId()), received.position(),
-				received.itemId());
-		switch (call.action()) {
-			case RESULTS -> results(call, wait, response);
-			case ITEM_BODY -> body(call, response);
-			case END -> end(call, response);
+	void handle(JobRequest received, Optional<String> account, Duration wait, JobResponse response) {
+		JobRequest request = new JobRequest(received.action(), JobIds.qualified(account, received.jobId()),
+				received.position(), received.itemId());
+		switch (request.action()) {
+			case RESULTS -> results(request, wait, response);
+			case ITEM_BODY -> body(request, response);
+			case END -> end(request, response);
 			case MALFORMED -> response.status(400, "the call cannot be understood", Optional.empty());
 		}
 	}
 
-	private void results(JobCall call, Duration wait, JobResponse response) {
-		this.reader.results(call.jobId(), call.position(), wait).whenCompleteAsync((page, failure) -> {
+	private void results(JobRequest request, Duration wait, JobResponse response) {
+		this.reader.results(request.jobId(), request.position(), wait).whenCompleteAsync((page, failure) -> {
 			if (failure != null) {
-				storeFailed(call, failure, response);
+				storeFailed(request, failure, response);
 			}
 			else if (page.isEmpty()) {
-				notFound(call, response);
+				notFound(request, response);
 			}
 			else {
-				response.body(this.format.results(page.get().total(), page.get().position(), page.get().outcomes()),
+				response.body(
+						this.format.formatResults(page.get().total(), page.get().position(), page.get().outcomes()),
 						"application/json");
 			}
 		}, this.loop);
 	}
 
-	private void body(JobCall call, JobResponse response) {
-		this.reader.body(call.jobId(), call.itemId()).whenCompleteAsync((body, failure) -> {
+	private void body(JobRequest request, JobResponse response) {
+		this.reader.body(request.jobId(), request.itemId()).whenCompleteAsync((body, failure) -> {
 			if (failure != null) {
-				storeFailed(call, failure, response);
+				storeFailed(request, failure, response);
 			}
 			else if (body.isEmpty()) {
-				notFound(call, response);
+				notFound(request, response);
 			}
 			else {
 				response.body(Base64.getDecoder().decode(body.get()), "application/octet-stream");
@@ -156,29 +157,30 @@
 		}, this.loop);
 	}
 
-	private void end(JobCall call, JobResponse response) {
-		this.store.end(call.jobId()).whenCompleteAsync((found, failure) -> {
+	private void end(JobRequest request, JobResponse response) {
+		this.store.end(request.jobId()).whenCompleteAsync((found, failure) -> {
 			if (failure != null) {
-				storeFailed(call, failure, response);
+				storeFailed(request, failure, response);
 			}
 			else if (found) {
-				LOG.info("job_end_accepted", "job", call.jobId());
-				this.admission.ended(call.jobId());
+				LOG.info("job_end_accepted", "job", request.jobId());
+				this.admission.ended(request.jobId());
 				response.status(200, "", Optional.empty());
 			}
 			else {
-				notFound(call, response);
+				notFound(request, response);
 			}
 		}, this.loop);
 	}
 
-	private static void notFound(JobCall call, JobResponse response) {
-		LOG.info("job_not_found", "job", call.jobId(), "action", call.action(), "item", call.itemId());
+	private static void notFound(JobRequest request, JobResponse response) {
+		LOG.info("job_not_found", "job", request.jobId(), "action", request.action(), "item", request.itemId());
 		response.status(404, "there is no such job or item", Optional.empty());
 	}
 
-	private static void storeFailed(JobCall call, Throwable failure, JobResponse response) {
-		LOG.warning("job_call_failed", "job", call.jobId(), "action", call.action(), "error", Failures.root(failure));
+	private static void storeFailed(JobRequest request, Throwable failure, JobResponse response) {
+		LOG.warning("job_call_failed", "job", request.jobId(), "action", request.action(), "error",
+				Failures.root(failure));
 		response.status(503, "the store does not answer", Optional.of(DEFAULT_RETRY_AFTER));
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
@@ -427,9 +427,9 @@
 			exchange.lastEvent = exchange.attempt.lastEventId();
 			exchange.response.write(data);
 			if (exchange.response.writeQueueFull()) {
-				Attempt writing = exchange.attempt;
-				writing.read(false);
-				exchange.response.onWritable(() -> writing.read(true));
+				Attempt current = exchange.attempt;
+				current.autoRead(false);
+				exchange.response.onWritable(() -> current.autoRead(true));
 			}
 		}
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/event/SseFrameDecoderTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/event/SseFrameDecoderTests.java
@@ -13,7 +13,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Whole events out of pieces of any size.
+ * Tests that complete events are found however the bytes of a stream are split.
  */
 class SseFrameDecoderTests {
 
@@ -21,17 +21,17 @@
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 5, 7, 11, 1_000 })
-	void shouldFindTheSameEventsInPiecesOfAnySize(int size) {
-		SseFrameDecoder splitter = SseFrameDecoder.start();
+	void shouldFindTheSameEventsInChunksOfAnySize(int size) {
+		SseFrameDecoder decoder = SseFrameDecoder.create();
 		List<String> events = new ArrayList<>();
 		for (int at = 0; at < STREAM.length(); at += size) {
-			String piece = STREAM.substring(at, Math.min(STREAM.length(), at + size));
-			splitter.feed(Unpooled.copiedBuffer(piece, StandardCharsets.UTF_8),
+			String chunk = STREAM.substring(at, Math.min(STREAM.length(), at + size));
+			decoder.decode(Unpooled.copiedBuffer(chunk, StandardCharsets.UTF_8),
 					(event) -> events.add(new String(event, StandardCharsets.UTF_8)));
 		}
 		assertThat(events).hasSize(3);
 		assertThat(String.join("", events)).isEqualTo(STREAM);
-		assertThat(splitter.midway()).isFalse();
+		assertThat(decoder.hasPartialEvent()).isFalse();
 		assertThat(events.stream().map((event) -> SseFrameDecoder.id(event.getBytes(StandardCharsets.UTF_8))).toList())
 			.isEqualTo(List.of(Optional.of(1L), Optional.of(2L), Optional.of(3L)));
 		assertThat(
@@ -40,28 +40,28 @@
 	}
 
 	/**
-	 * A runner stops in the middle of an event. Its beginning must not reach the caller,
-	 * who could not go on after it.
+	 * Guards against forwarding the beginning of an event when an upstream stops in the
+	 * middle of it: the stream could not be resumed after it.
 	 */
 	@Test
-	void shouldHoldBackAnEventWithoutItsEnd() {
-		SseFrameDecoder splitter = SseFrameDecoder.start();
+	void shouldHoldBackAnIncompleteEvent() {
+		SseFrameDecoder decoder = SseFrameDecoder.create();
 		List<String> events = new ArrayList<>();
-		splitter.feed(Unpooled.copiedBuffer("id: 1\ndata: a\n\nid: 2\nda", StandardCharsets.UTF_8),
+		decoder.decode(Unpooled.copiedBuffer("id: 1\ndata: a\n\nid: 2\nda", StandardCharsets.UTF_8),
 				(event) -> events.add(new String(event, StandardCharsets.UTF_8)));
 		assertThat(events).containsExactly("id: 1\ndata: a\n\n");
-		assertThat(splitter.midway()).isTrue();
+		assertThat(decoder.hasPartialEvent()).isTrue();
 	}
 
 	@Test
-	void shouldJoinLinesOfData() {
+	void shouldJoinDataLines() {
 		byte[] event = "id: 1\ndata: a\ndata:b\n\n".getBytes(StandardCharsets.UTF_8);
 		assertThat(SseFrameDecoder.data(event)).hasValue("a\nb");
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "data: a\n\n", "id: x\ndata: a\n\n", "\n", ": note\n\n" })
-	void shouldFindNoIdWhereThereIsNone(String event) {
+	void shouldFindNoIdInAnEventWithoutOne(String event) {
 		assertThat(SseFrameDecoder.id(event.getBytes(StandardCharsets.UTF_8))).isEmpty();
 	}
 
