--- a/modules/gateway/src/main/java/org/ragworthook/gateway/log/BoundedLoggerFinder.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/log/BoundedLoggerFinder.java
@@ -4,8 +4,9 @@
 import java.util.ResourceBundle;
 
 /**
- * Leads {@link System.Logger} to the bounded log. The log managers of the platform are
- * passed by: they shut down when a stop begins, and the lines of the stop would be lost.
+ * Makes all {@link System.Logger} instances write to the bounded log. The JDK's log
+ * manager is not used: it is reset as soon as the JVM begins to shut down, and the lines
+ * that a process logs while it stops would be lost.
  */
 public final class BoundedLoggerFinder extends System.LoggerFinder {
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/log/LibraryLogs.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/log/LibraryLogs.java
@@ -8,7 +8,7 @@
 import java.util.logging.SimpleFormatter;
 
 /**
- * Leads what libraries log through {@code java.util.logging} to the bounded log.
+ * A bridge from {@code java.util.logging}, which libraries use, to the bounded log.
  */
 public final class LibraryLogs extends Handler {
 
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * Makes libraries log to the bounded log, warnings and errors only.
+	 * Installs the bridge for warnings and errors. Libraries' other messages are dropped.
 	 */
 	public static void install() {
 		LogManager.getLogManager().reset();
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/log/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/log/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Writes log lines without ever holding up the thread that logs.
+ * Asynchronous logging that never blocks the thread that logs.
  */
 package org.ragworthook.gateway.log;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/log/BoundedLogTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/log/BoundedLogTests.java
@@ -12,16 +12,16 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Log lines under load and at the end of a process.
+ * The bounded log under load and at the end of a process.
  */
 class BoundedLogTests {
 
 	/**
-	 * A process stops right after its last line. Whatever the writing thread does at that
-	 * moment, the line has to be there.
+	 * Guards against the loss of a process's last lines: it exits right after it has
+	 * logged them, while the writer thread may be in any state.
 	 */
 	@Test
-	void shouldWriteEveryLineBeforeTheEnd() {
+	void shouldWriteAllLinesOnFlush() {
 		for (int run = 0; run < 20; run++) {
 			ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 			BoundedLog log = new BoundedLog(new PrintStream(bytes, false, StandardCharsets.UTF_8));
@@ -35,15 +35,15 @@
 	}
 
 	/**
-	 * Whoever reads the output has stalled. Threads that log go on, and the log says
-	 * later how many lines are missing.
+	 * Guards against threads that block when they log because the reader of the output
+	 * has stalled. Lines are dropped instead, and their number is logged later.
 	 * @throws Exception if the test is interrupted
 	 */
 	@Test
-	void shouldDropAndCountLinesWhileTheReaderStalls() throws Exception {
-		CountDownLatch reading = new CountDownLatch(1);
+	void shouldDropAndCountLinesWhileTheOutputIsBlocked() throws Exception {
+		CountDownLatch unblocked = new CountDownLatch(1);
 		ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-		OutputStream stalled = new OutputStream() {
+		OutputStream blocked = new OutputStream() {
 
 			@Override
 			public void write(int value) throws IOException {
@@ -51,22 +51,22 @@
 			}
 
 			@Override
-			public void write(byte[] data, int from, int count) throws IOException {
+			public void write(byte[] data, int offset, int length) throws IOException {
 				try {
-					reading.await();
+					unblocked.await();
 				}
 				catch (InterruptedException ex) {
 					throw new IOException(ex);
 				}
-				bytes.write(data, from, count);
+				bytes.write(data, offset, length);
 			}
 
 		};
-		BoundedLog log = new BoundedLog(new PrintStream(stalled, false, StandardCharsets.UTF_8));
+		BoundedLog log = new BoundedLog(new PrintStream(blocked, false, StandardCharsets.UTF_8));
 		for (int line = 0; line < 20_000; line++) {
 			log.add("INFO", "event=busy line=" + line, null);
 		}
-		reading.countDown();
+		unblocked.countDown();
 		log.flush();
 		log.add("INFO", "event=after", null);
 		log.flush();
