--- a/modules/gateway/src/main/java/org/ragworthook/gateway/metrics/GatewayMetrics.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/metrics/GatewayMetrics.java
@@ -15,12 +15,12 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
 /**
- * The metrics of a process, as text for Prometheus. Names of routes and upstreams are not
- * among the tags, since their number is not bounded.
+ * The metrics of a process in the text format of Prometheus. Routes and upstreams are not
+ * used as tags, since their number is unbounded.
  */
 public final class GatewayMetrics {
 
-	/** From an engine's fastest first event to a caller's longest deadline. */
+	/** Range from an engine's fastest first event to a caller's longest deadline. */
 	private static final Duration[] BUCKETS = { Duration.ofMillis(20), Duration.ofMillis(50), Duration.ofMillis(100),
 			Duration.ofMillis(200), Duration.ofMillis(300), Duration.ofMillis(500), Duration.ofSeconds(1),
 			Duration.ofSeconds(2), Duration.ofSeconds(5), Duration.ofSeconds(20) };
@@ -29,20 +29,23 @@
 
 	private final Map<String, Counter> counters = new ConcurrentHashMap<>();
 
-	private final Map<String, Counter> storeCalls = new ConcurrentHashMap<>();
+	private final Map<String, Counter> storeCallCounters = new ConcurrentHashMap<>();
 
-	private final Timer firstEvent = timer("ragworthook.gateway.first.event", "From a request's arrival to its answer");
+	private final Timer firstEventTime = timer("ragworthook.gateway.first.event",
+			"Time from the arrival of a request to the start of its answer");
 
-	private final Timer whole = timer("ragworthook.gateway.request", "From a request's arrival to its end");
+	private final Timer requestTime = timer("ragworthook.gateway.request",
+			"Time from the arrival of a request to its end");
 
-	private final Timer storeCall = timer("ragworthook.gateway.store.call", "Calls of the platform's store");
+	private final Timer storeCallTime = timer("ragworthook.gateway.store.call",
+			"Duration of calls of the platform's store");
 
 	private GatewayMetrics() {
 	}
 
 	/**
-	 * Returns metrics without values.
-	 * @return new metrics
+	 * Returns metrics without recorded values.
+	 * @return the metrics
 	 */
 	public static GatewayMetrics empty() {
 		return new GatewayMetrics();
@@ -60,29 +63,30 @@
 
 	/**
 	 * Counts a request that has ended.
-	 * @param outcome how
-	 * @param firstMillis when its answer began, or a negative number if it did not
-	 * @param millis how long it took
+	 * @param outcome how the request ended
+	 * @param firstByteMillis the time from the request's arrival to the start of its
+	 * answer in milliseconds, or a negative number if there was none
+	 * @param totalMillis the time from the request's arrival to its end in milliseconds
 	 */
-	public void requestEnded(String outcome, long firstMillis, long millis) {
+	public void requestEnded(String outcome, long firstByteMillis, long totalMillis) {
 		count("ragworthook.gateway.requests", "outcome", outcome, 1);
-		this.whole.record(millis, TimeUnit.MILLISECONDS);
-		if (firstMillis >= 0) {
-			this.firstEvent.record(firstMillis, TimeUnit.MILLISECONDS);
+		this.requestTime.record(totalMillis, TimeUnit.MILLISECONDS);
+		if (firstByteMillis >= 0) {
+			this.firstEventTime.record(firstByteMillis, TimeUnit.MILLISECONDS);
 		}
 	}
 
 	/**
-	 * Counts a request that was refused before it was placed.
-	 * @param reason why
+	 * Counts a request that was refused before it was placed at an upstream.
+	 * @param reason why the request was refused
 	 */
 	public void requestRefused(String reason) {
 		count("ragworthook.gateway.refusals", "reason", reason, 1);
 	}
 
 	/**
-	 * Counts an attempt at an upstream that brought no whole answer.
-	 * @param reason why
+	 * Counts an attempt at an upstream that brought no complete answer.
+	 * @param reason why the attempt failed
 	 */
 	public void attemptFailed(String reason) {
 		count("ragworthook.gateway.attempts.failed", "reason", reason, 1);
@@ -90,15 +94,15 @@
 
 	/**
 	 * Counts an item of a batch job that has ended.
-	 * @param completed whether it ran to its end
+	 * @param completed whether the item ran to its end, rather than being given up
 	 */
 	public void itemEnded(boolean completed) {
 		count("ragworthook.gateway.items", "outcome", completed ? "completed" : "given_up", 1);
 	}
 
 	/**
-	 * Counts items that gave their slots to online requests.
-	 * @param items how many
+	 * Counts batch items that were preempted: their slots went to online requests.
+	 * @param items the number of items
 	 */
 	public void itemsPreempted(int items) {
 		count("ragworthook.gateway.items.cut", "reason", "yielded", items);
@@ -106,49 +110,49 @@
 
 	/**
 	 * Counts a call of the platform's store.
-	 * @param collection what the call concerned
-	 * @param call what it did there
-	 * @param answered whether an answer came
-	 * @param nanos how long it took
+	 * @param collection the collection of objects that was called
+	 * @param call the kind of call
+	 * @param answered whether the store answered
+	 * @param nanos the duration of the call in nanoseconds
 	 */
 	public void storeCall(String collection, String call, boolean answered, long nanos) {
-		this.storeCalls
+		this.storeCallCounters
 			.computeIfAbsent(collection + "." + call + (answered ? "" : ".failed"),
 					(name) -> Counter.builder("ragworthook.gateway.store.calls")
 						.tags("collection", collection, "call", call, "outcome", answered ? "answered" : "failed")
 						.register(this.registry))
 			.increment();
-		this.storeCall.record(nanos, TimeUnit.NANOSECONDS);
+		this.storeCallTime.record(nanos, TimeUnit.NANOSECONDS);
 	}
 
 	/**
-	 * Returns how often the platform's store was called.
-	 * @return counts since the start by collection and call, such as
-	 * {@code servers.watch:12,servers.list:1}, in order of their names
+	 * Returns the number of calls of the platform's store since the start of the process.
+	 * @return the counts by collection and kind of call in alphabetical order, such as
+	 * {@code servers.list:1,servers.watch:12}
 	 */
 	public String storeCalls() {
-		return new TreeMap<>(this.storeCalls).entrySet()
+		return new TreeMap<>(this.storeCallCounters).entrySet()
 			.stream()
 			.map((entry) -> entry.getKey() + ":" + (long) entry.getValue().count())
 			.collect(Collectors.joining(","));
 	}
 
 	/**
-	 * Shows a figure that is read when the metrics are.
-	 * @param <T> what the figure is read from
-	 * @param name its name
-	 * @param source what it is read from
-	 * @param reading reads it
+	 * Registers a gauge, which is read each time the metrics are scraped.
+	 * @param <T> the type of the source
+	 * @param name the name of the gauge without the common prefix
+	 * @param source the object that the value is read from, kept by a strong reference
+	 * @param value reads the value
 	 */
-	public <T> void gauge(String name, T source, ToDoubleFunction<T> reading) {
-		Gauge.builder("ragworthook.gateway." + name, source, reading).strongReference(true).register(this.registry);
+	public <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+		Gauge.builder("ragworthook.gateway." + name, source, value).strongReference(true).register(this.registry);
 	}
 
 	/**
-	 * Writes all metrics.
-	 * @return text as Prometheus reads it
+	 * Returns the current values of all metrics.
+	 * @return the values in the text format of Prometheus
 	 */
-	public String text() {
+	public String scrape() {
 		return this.registry.scrape();
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/metrics/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/metrics/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Counters and histograms of a process.
+ * Counters, gauges and histograms of a process.
  */
 package org.ragworthook.gateway.metrics;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Serves online requests and batch jobs straight from upstreams that register themselves.
- * Unlike the entry and the sidecar of the daemon, nothing stands beside an upstream: the
- * processes place requests by what they and their peers have sent.
+ * A gateway that sends online requests and batch jobs directly to upstreams that register
+ * themselves. Unlike the daemon, with its entry and sidecars, it runs no process next to
+ * an upstream: each process places requests by the load that it and its peers have at the
+ * upstreams.
  */
 package org.ragworthook.gateway;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/ConfigurationCheck.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/ConfigurationCheck.java
@@ -12,8 +12,9 @@
 import org.ragworthook.gateway.route.Configuration;
 
 /**
- * Reads the configuration from the platform and puts it in force. A watch cannot stand in
- * for this: one that tells of no change may have missed it.
+ * Reads the configuration from the platform and puts it in force. The watch of the
+ * configuration cannot replace this check: if it delivers no change, it may have missed
+ * one.
  */
 final class ConfigurationCheck implements Supplier<CompletableFuture<Boolean>> {
 
@@ -30,17 +31,17 @@
 	}
 
 	/**
-	 * Makes a check.
-	 * @return whether the configuration in force is no older than the platform's; not so
-	 * if the platform's cannot be decoded
+	 * Performs a check.
+	 * @return whether the configuration in force is at least as new as the platform's;
+	 * false if the platform's cannot be decoded
 	 */
 	@Override
 	public CompletableFuture<Boolean> get() {
 		return this.feed.list()
-			.thenApplyAsync((all) -> all.changes().stream().map(Change::value).anyMatch(this::take), this.loop);
+			.thenApplyAsync((all) -> all.changes().stream().map(Change::value).anyMatch(this::putInForce), this.loop);
 	}
 
-	private boolean take(Optional<Configuration> read) {
+	private boolean putInForce(Optional<Configuration> read) {
 		if (read.isEmpty()) {
 			return false;
 		}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/EventLoopTimers.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/EventLoopTimers.java
@@ -9,13 +9,13 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Timers that run on an event loop.
+ * Timers that run their tasks on an event loop.
  */
-final class LoopTimers implements Timers {
+final class EventLoopTimers implements Timers {
 
 	private final EventLoop loop;
 
-	LoopTimers(EventLoop loop) {
+	EventLoopTimers(EventLoop loop) {
 		this.loop = Objects.requireNonNull(loop, "loop is null");
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -61,30 +61,32 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * A running process: takes callers' requests, runs batch jobs, or both, by its settings.
+ * A running process of the gateway, which serves callers' requests, runs batch jobs, or
+ * both, depending on its settings.
  */
 public final class GatewayProcess implements AutoCloseable {
 
 	private static final EventLog LOG = EventLog.of(GatewayProcess.class);
 
-	/** How long a connection to an upstream may take: some hundred round trips. */
-	private static final Duration UPSTREAM_CONNECT = Duration.ofMillis(500);
+	/** About a hundred round trips. */
+	private static final Duration UPSTREAM_CONNECT_TIMEOUT = Duration.ofMillis(500);
 
 	/**
-	 * How long callers may still come after the stop began: three looks of the balancer.
+	 * How long requests are still accepted after a stop has begun, until the balancer no
+	 * longer directs callers here: three of its health checks.
 	 */
-	private static final Duration STAY = Duration.ofMillis(3_000);
+	private static final Duration DEREGISTRATION_DELAY = Duration.ofMillis(3_000);
 
-	/** What is left of the grace when the process ends whatever is open. */
-	private static final Duration MARGIN = Duration.ofMillis(700);
+	/** How long before the end of the grace period a stop abandons open requests. */
+	private static final Duration GRACE_MARGIN = Duration.ofMillis(700);
 
-	/** For collections that change seldom: a watch is taken up again at once. */
-	private static final Supplier<Duration> AT_ONCE = () -> Duration.ZERO;
+	/** For collections that change seldom: the next watch call follows at once. */
+	private static final Supplier<Duration> NO_GATHERING = () -> Duration.ZERO;
 
-	/** How often the calls of the store are logged: one line in some hundred. */
-	private static final Duration STORE_CALLS_SHOWN = Duration.ofSeconds(10);
+	/** An interval at which these are about one in a hundred log lines. */
+	private static final Duration STORE_CALLS_LOG_INTERVAL = Duration.ofSeconds(10);
 
-	private static final Duration LOOK = Duration.ofMillis(50);
+	private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(50);
 
 	private volatile GatewaySettings settings;
 
@@ -106,7 +108,7 @@
 
 	private final PoisonRequestDetector suspects = PoisonRequestDetector.empty(this.ticker);
 
-	private final Listening listening;
+	private final ServerStarter servers;
 
 	private final Platform platform;
 
@@ -114,7 +116,7 @@
 
 	private final ConditionalWriter writer;
 
-	private final PeerLinks peers;
+	private final PeerReports peers;
 
 	private final PeerIdentity self;
 
@@ -143,26 +145,27 @@
 			.setFileSystemOptions(
 					new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
 		this.loop = ((ContextInternal) this.vertx.getOrCreateContext()).nettyEventLoop();
-		this.timers = new LoopTimers(this.loop);
-		this.listening = new Listening(this.vertx, this.timers, () -> this.leaving);
+		this.timers = new EventLoopTimers(this.loop);
+		this.servers = new ServerStarter(this.vertx, this.timers, () -> this.leaving);
 		this.platform = adapter.apply(new PlatformContext(this.loop, this.ticker, this.timers, this.metrics));
 		this.writer = ConditionalWriter.of(this.platform.store(), Stamps
 			.of(settings.instance() + "-" + this.startedMillis + "-" + ThreadLocalRandom.current().nextInt()));
 		this.jobs = JobStore.of(this.platform.store(), this.writer);
-		this.self = new PeerIdentity(settings.instance(), this.startedMillis, settings.peers(), settings.runsJobs());
-		this.peers = PeerLinks.start(this.self, settings.failureDomain(), this.upstreams, this.suspects, this.loop,
+		this.self = new PeerIdentity(settings.instance(), this.startedMillis, settings.peerAddress(),
+				settings.runsJobs());
+		this.peers = PeerReports.start(this.self, settings.failureDomain(), this.upstreams, this.suspects, this.loop,
 				this.ticker, this.timers);
 		this.lease = settings.bounds().maxRevocationDelay().map(this::lease);
 		this.accessControl = AccessControl.of(this::accounts, this.lease);
 		this.upstreamFeed = UpstreamFeedListener.of(this.upstreams, this.health, this.timers);
-		PeerDirectory.join(this.platform.store(), this.writer, this.platform.peerAddresses(), this.peers.loads(),
+		PeerDirectory.join(this.platform.store(), this.writer, this.platform.peerAddresses(), this.peers.exchange(),
 				this.self, this.timers);
 	}
 
 	/**
 	 * Starts a process.
-	 * @param settings what it is to do
-	 * @param adapter makes the platform
+	 * @param settings the settings of the process
+	 * @param adapter creates the platform
 	 * @return the process
 	 */
 	public static GatewayProcess start(GatewaySettings settings, Function<PlatformContext, Platform> adapter) {
@@ -170,59 +173,59 @@
 				Objects.requireNonNull(adapter, "adapter is null"));
 		process.loop.execute(process::begin);
 		LOG.info("started", "instance", settings.instance(), "domain", settings.failureDomain(), "callers",
-				settings.front().isPresent(), "jobs", settings.runsJobs());
+				settings.frontAddress().isPresent(), "jobs", settings.runsJobs());
 		return process;
 	}
 
 	private void begin() {
 		Placement placement = Placement.of(this.settings.failureDomain(), this.ticker, ThreadLocalRandom.current());
-		ConnectionPool connections = ConnectionPool.of(this.loop, this.ticker, UPSTREAM_CONNECT,
+		ConnectionPool connections = ConnectionPool.of(this.loop, this.ticker, UPSTREAM_CONNECT_TIMEOUT,
 				this.platform.headers().requestId());
-		showMetrics();
-		this.timers.schedule(STORE_CALLS_SHOWN, this::showStoreCalls);
-		this.peers.fleet().storeLost(() -> this.health.downFor().compareTo(IsolationRule.STORE_LOST) >= 0);
-		follow(this.platform.upstreams(), this.upstreamFeed, this::gathering);
-		follow(this.platform.configuration(), new ConfigurationListener(), AT_ONCE);
+		startMetrics();
+		this.timers.schedule(STORE_CALLS_LOG_INTERVAL, this::logStoreCalls);
+		this.peers.fleet().storeLost(() -> this.health.downFor().compareTo(IsolationRule.STORE_LOST_TIMEOUT) >= 0);
+		follow(this.platform.upstreams(), this.upstreamFeed, this::gatheringTime);
+		follow(this.platform.configuration(), new ConfigurationListener(), NO_GATHERING);
 		if (this.settings.runsJobs()) {
 			runJobs(placement, connections);
 		}
-		if (this.settings.front().isPresent()) {
+		if (this.settings.frontAddress().isPresent()) {
 			serveCallers(placement, connections);
 		}
 	}
 
 	/**
-	 * Logs how often this process has called the store, so that the cause of many calls
-	 * is found without the metrics of a process that is gone.
+	 * Logs how often this process has called the store, so that the cause of a high call
+	 * rate can be found after the process, and its metrics, are gone.
 	 */
-	private void showStoreCalls() {
+	private void logStoreCalls() {
 		LOG.info("store_calls", "since_start", this.metrics.storeCalls());
 		if (!this.leaving) {
-			this.timers.schedule(STORE_CALLS_SHOWN, this::showStoreCalls);
+			this.timers.schedule(STORE_CALLS_LOG_INTERVAL, this::logStoreCalls);
 		}
 	}
 
-	private void showMetrics() {
+	private void startMetrics() {
 		this.metrics.gauge("upstreams", this.upstreams, (all) -> all.all().size());
 		this.metrics.gauge("configuration.version", this.configuration,
 				(present) -> present.current().map(Configuration::version).orElse(0L));
 		this.metrics.gauge("store.up", this.health, (present) -> present.up() ? 1 : 0);
-		this.listening.start("metrics", this.settings.metrics(), new MetricsServer(this.metrics));
+		this.servers.start("metrics", this.settings.metricsAddress(), new MetricsHandler(this.metrics));
 	}
 
 	/**
-	 * Returns how long changes gather where they are frequent, so that the processes that
-	 * watch do not all call the store at each.
-	 * @return the pause
+	 * Returns how long a watch lets changes of upstreams gather before the next call, so
+	 * that not every process calls the store for every change.
+	 * @return the time between two calls
 	 */
-	private Duration gathering() {
+	private Duration gatheringTime() {
 		return CoalescingDelay.forDrainNotice(this.settings.bounds().drainDeadline())
 			.forProcesses(this.peers.fleet().peerCounts().known() + 1);
 	}
 
-	private <T> FeedFollower<T> follow(Feed<T> feed, FeedListener<T> listener, Supplier<Duration> gathering) {
+	private <T> FeedFollower<T> follow(Feed<T> feed, FeedListener<T> listener, Supplier<Duration> gatheringTime) {
 		FeedFollower<T> follower = FeedFollower.start(feed, listener, this.timers, this.loop,
-				this.settings.bounds().watch(), this.health, gathering);
+				this.settings.bounds().watchTimeout(), this.health, gatheringTime);
 		this.followers.add(follower);
 		return follower;
 	}
@@ -232,35 +235,35 @@
 				UnreportedPlacements.of(this.ticker, LoadExchange.MEAN_REPORT_AGE,
 						this.peers.fleet()::liveOtherEntries),
 				connections, this.platform.headers(), this.platform.promptFormat(), this.ticker, this.timers,
-				ThreadLocalRandom.current(), this.suspects, this.metrics, this.peers.slots(),
-				this.peers.dispatch()::loadChanged, this.peers.loads()::flush);
-		CallerAccess access = access();
+				ThreadLocalRandom.current(), this.suspects, this.metrics, this.peers.dispatchClient(),
+				this.peers.dispatch()::loadChanged, this.peers.exchange()::flush);
+		CallerAccess access = callerAccess();
 		JobReader reader = JobReader.of(this.jobs, this.peers.listings(), this.timers);
 		this.peers.listings().onUpdate(reader::onResultsReported);
 		Frontend front = FrontendFactory.of(this.vertx, context, access, this.jobs, reader, this.platform.jobFormat(),
 				this.loop, this.health::up,
-				new JobBacklog(this.peers.loads(), this.peers.changedJobs(), this.platform::jobs));
+				new JobBacklog(this.peers.exchange(), this.peers.jobChanges(), this.platform::jobs));
 		front.shedConnectionsWhile(this::shedsConnections);
 		this.configuration.onChange(front::configurationChanged);
 		this.frontend = Optional.of(front);
-		this.peers.loads().onReport(front::capacityChanged);
-		Address address = this.settings.front().orElseThrow();
-		this.listening.start("callers", () -> front.listen(address));
-		this.settings.readiness()
-			.ifPresent((place) -> this.listening.start("readiness", place, new ReadinessServer(this::ready)));
+		this.peers.exchange().onReport(front::capacityChanged);
+		Address address = this.settings.frontAddress().orElseThrow();
+		this.servers.start("callers", () -> front.listen(address));
+		this.settings.readinessAddress()
+			.ifPresent((readiness) -> this.servers.start("readiness", readiness, new ReadinessHandler(this::ready)));
 	}
 
 	private boolean shedsConnections() {
-		boolean keysLost = this.accessControl.unavailable();
-		return (keysLost || !this.health.up())
-				&& IsolationRule.shedsConnections(this.health.downFor(), keysLost, this.peers.fleet().peerCounts());
+		boolean keysUnavailable = this.accessControl.unavailable();
+		return (keysUnavailable || !this.health.up()) && IsolationRule.shedsConnections(this.health.downFor(),
+				keysUnavailable, this.peers.fleet().peerCounts());
 	}
 
-	private CallerAccess access() {
+	private CallerAccess callerAccess() {
 		QuotaLedger quotas = QuotaLedger.of(this.ticker, this.startedMillis, this::accounts,
 				this.peers.fleet()::liveEntryFraction, this.peers.fleet()::knownEntries, ThreadLocalRandom.current());
-		QuotaReports.register(this.peers.loads(), quotas);
-		this.lease.ifPresent((held) -> LeaseReports.register(this.peers.loads(), held, this.self, this.ticker,
+		QuotaReports.register(this.peers.exchange(), quotas);
+		this.lease.ifPresent((held) -> LeaseReports.register(this.peers.exchange(), held, this.self, this.ticker,
 				() -> this.configuration.current().map(Configuration::version).orElse(0L)));
 		return new CallerAccess(this.accessControl, quotas, this.platform.headers(), this.metrics);
 	}
@@ -289,25 +292,25 @@
 				this.peers.fleet()::settled, this.peers.fleet()::slotClaimOrder, this.configuration, this.upstreams,
 				placement, connections, this.platform.headers(), this.ticker, System::currentTimeMillis, this.timers,
 				ThreadLocalRandom.current()::nextDouble, this.loop, this.metrics, this.settings.queueTimeout(),
-				this.peers.pauses()::pauses, this.peers.fleet()::runnerStates, this.peers.loads()::flush));
+				this.peers.pauseDetector()::pauses, this.peers.fleet()::runnerStates, this.peers.exchange()::flush));
 		this.runner = Optional.of(jobRunner);
 		this.peers.dispatch()
 			.dispatcher(Dispatcher.of(this.upstreams, this.ticker, ThreadLocalRandom.current(), firstGrant(),
 					this.peers.dispatch()));
-		this.peers.loads().wantsSlots(jobRunner::hasWaitingItems);
-		this.peers.loads().ownedBacklog(jobRunner::backlog);
+		this.peers.exchange().wantsSlots(jobRunner::hasWaitingItems);
+		this.peers.exchange().ownedBacklog(jobRunner::backlog);
 		this.peers.listings().own(jobRunner::publishedResults);
-		this.peers.loads().onReport(jobRunner::yieldSlots);
+		this.peers.exchange().onReport(jobRunner::yieldSlots);
 		followJobs(jobRunner, owners);
-		follow(this.platform.retirements(), new Retirement(this.settings.instance(), this.peers.loads(), jobRunner,
-				this.platform::reportRetired, this.timers, this.loop), AT_ONCE);
+		follow(this.platform.retirements(), new RetirementListener(this.settings.instance(), this.peers.exchange(),
+				jobRunner, this.platform::reportRetired, this.timers, this.loop), NO_GATHERING);
 		jobRunner.start();
 	}
 
 	private void followJobs(JobRunner jobRunner, JobOwners owners) {
 		FeedFollower<Job> follower = follow(this.platform.jobs(), new JobListener(jobRunner),
 				() -> CoalescingDelay.forJobs(this.peers.fleet().liveRunners().size()));
-		this.peers.changedJobs().onChange((jobId) -> {
+		this.peers.jobChanges().onChange((jobId) -> {
 			if (owners.ownedHere(jobId)) {
 				follower.pollNow();
 			}
@@ -315,17 +318,17 @@
 	}
 
 	/**
-	 * Returns a number above those of an earlier run's grants, of which there were fewer
-	 * than one in a microsecond.
-	 * @return the number
+	 * Returns the number of the first grant of this run. It exceeds those of earlier
+	 * runs, which made fewer than one grant per microsecond.
+	 * @return the time in microseconds, Unix time
 	 */
 	private static long firstGrant() {
 		return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
 	}
 
 	/**
-	 * Takes settings that were read again. How long a stop may take holds at once;
-	 * addresses and duties hold from the next start.
+	 * Applies settings that were read again. The grace period takes effect at once, all
+	 * other settings at the next start.
 	 * @param newest the settings
 	 */
 	public void reload(GatewaySettings newest) {
@@ -336,36 +339,38 @@
 	}
 
 	/**
-	 * Stops: takes no new connections, lets requests end, lists what is finished.
+	 * Stops the process and waits until open requests have ended and finished results are
+	 * listed, or the grace period is nearly over. Requests are still accepted while the
+	 * balancer may direct callers here.
 	 */
 	public void stop() {
 		LOG.info("stopping", "instance", this.settings.instance());
-		long begun = this.ticker.nanos();
+		long startNanos = this.ticker.nanos();
 		this.leaving = true;
 		this.loop.execute(() -> {
 			this.frontend.ifPresent(Frontend::drain);
 			this.runner.map(JobRunner::stop)
 				.orElse(CompletableFuture.completedFuture(null))
-				.whenComplete((saved, failure) -> this.peers.loads().leave());
+				.whenComplete((saved, failure) -> this.peers.exchange().leave());
 		});
-		Duration most = this.settings.grace().minus(MARGIN);
-		Duration least = this.frontend.isPresent() ? STAY : Duration.ZERO;
+		Duration maxTime = this.settings.grace().minus(GRACE_MARGIN);
+		Duration minTime = this.frontend.isPresent() ? DEREGISTRATION_DELAY : Duration.ZERO;
 		while (true) {
-			Duration gone = Duration.ofNanos(this.ticker.nanos() - begun);
-			if (gone.compareTo(most) >= 0 || (gone.compareTo(least) >= 0 && idle())) {
+			Duration elapsed = Duration.ofNanos(this.ticker.nanos() - startNanos);
+			if (elapsed.compareTo(maxTime) >= 0 || (elapsed.compareTo(minTime) >= 0 && idle())) {
 				break;
 			}
-			if (gone.compareTo(least) >= 0) {
+			if (elapsed.compareTo(minTime) >= 0) {
 				this.loop.execute(() -> this.frontend.ifPresent(Frontend::rejectNewRequests));
 			}
-			pause();
+			sleep();
 		}
 		LOG.info("stopped", "instance", this.settings.instance(), "open",
-				this.frontend.map(Frontend::openRequests).orElse(0), "ms", (this.ticker.nanos() - begun) / 1_000_000);
+				this.frontend.map(Frontend::openRequests).orElse(0), "ms", (this.ticker.nanos() - startNanos) / 1_000_000);
 	}
 
 	/**
-	 * Ends at once, whatever is open.
+	 * Ends the process at once and aborts open requests.
 	 */
 	@Override
 	public void close() {
@@ -382,9 +387,9 @@
 		return idle.join();
 	}
 
-	private static void pause() {
+	private static void sleep() {
 		try {
-			TimeUnit.MILLISECONDS.sleep(LOOK.toMillis());
+			TimeUnit.MILLISECONDS.sleep(STOP_POLL_INTERVAL.toMillis());
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -392,12 +397,12 @@
 	}
 
 	/**
-	 * What an adapter may use.
+	 * The parts of the process that an adapter uses.
 	 *
 	 * @param loop the event loop
-	 * @param ticker the time
-	 * @param timers runs tasks later, on the event loop
-	 * @param metrics counts calls of the store
+	 * @param ticker the monotonic clock
+	 * @param timers schedules tasks on the event loop
+	 * @param metrics counts the adapter's calls of the store
 	 */
 	public record PlatformContext(EventLoop loop, Ticker ticker, Timers timers, GatewayMetrics metrics) {
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/IsolationRule.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/IsolationRule.java
@@ -5,47 +5,51 @@
 import org.ragworthook.gateway.peer.PeerCounts;
 
 /**
- * Decides whether an entry is cut off, so that callers are to go elsewhere.
+ * Decides whether an entry is isolated by a network partition, so that callers should use
+ * other entries.
  * <p>
  * An entry that does not reach the store can accept no job and confirm no key, and one
- * that hears nobody places online requests blindly. While the store is away from
- * everybody, nobody serves better, and all stay in use.
+ * that receives no reports of peers places online requests without knowing the loads.
+ * While no process reaches the store, no other entry would serve callers better, and all
+ * stay in use.
  */
 final class IsolationRule {
 
 	/**
-	 * How long the store may be silent to this process alone: longer than single calls
-	 * that are lost or refused.
+	 * How long the store must have failed to answer before it counts as lost to this
+	 * process: longer than after single calls that are lost or refused.
 	 */
-	static final Duration STORE_LOST = Duration.ofMillis(1_500);
+	static final Duration STORE_LOST_TIMEOUT = Duration.ofMillis(1_500);
 
 	private IsolationRule() {
 	}
 
 	/**
-	 * Decides.
+	 * Returns whether this process is isolated.
 	 * @param storeLost for how long the store has not answered, zero while it does
-	 * @param peers what is heard of the other processes
-	 * @return whether this process is cut off
+	 * @param peers the counts of the other processes
+	 * @return whether callers should use other entries
 	 */
 	static boolean isolated(Duration storeLost, PeerCounts peers) {
 		if (storeLost.isZero()) {
 			return false;
 		}
 		boolean alone = peers.known() > 0 && peers.live() == 0;
-		return alone || (storeLost.compareTo(STORE_LOST) >= 0 && peers.reachingStore() > 0);
+		return alone || (storeLost.compareTo(STORE_LOST_TIMEOUT) >= 0 && peers.reachingStore() > 0);
 	}
 
 	/**
-	 * Decides whether callers are to leave the connections that they keep. The balancer
-	 * only keeps new ones away from an entry that is not ready.
+	 * Returns whether this process should ask callers to close their persistent
+	 * connections. The balancer only keeps new connections away from an entry that is not
+	 * ready.
 	 * @param storeLost for how long the store has not answered, zero while it does
-	 * @param keysLost whether no key can be relied on
-	 * @param peers what is heard of the other processes
-	 * @return whether another entry is likely to serve them
+	 * @param keysUnavailable whether this process has no valid configuration to check
+	 * keys against
+	 * @param peers the counts of the other processes
+	 * @return whether another entry is likely to serve the callers
 	 */
-	static boolean shedsConnections(Duration storeLost, boolean keysLost, PeerCounts peers) {
-		return isolated(storeLost, peers) || (keysLost && peers.reachingStore() > 0);
+	static boolean shedsConnections(Duration storeLost, boolean keysUnavailable, PeerCounts peers) {
+		return isolated(storeLost, peers) || (keysUnavailable && peers.reachingStore() > 0);
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/JobBacklog.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/JobBacklog.java
@@ -15,26 +15,26 @@
 import org.ragworthook.gateway.route.Route;
 
 /**
- * What is known of the items that wait, from reports and, where they are not enough, from
- * the store.
+ * The backlog of batch jobs over all processes, from their reports and, where those are
+ * incomplete, from the store.
  */
 final class JobBacklog implements Backlog {
 
-	private final LoadExchange loads;
+	private final LoadExchange exchange;
 
-	private final JobChangeReports changes;
+	private final JobChangeReports jobChanges;
 
 	private final Supplier<Feed<Job>> jobs;
 
-	JobBacklog(LoadExchange loads, JobChangeReports changes, Supplier<Feed<Job>> jobs) {
-		this.loads = Objects.requireNonNull(loads, "loads is null");
-		this.changes = Objects.requireNonNull(changes, "changes is null");
+	JobBacklog(LoadExchange exchange, JobChangeReports jobChanges, Supplier<Feed<Job>> jobs) {
+		this.exchange = Objects.requireNonNull(exchange, "exchange is null");
+		this.jobChanges = Objects.requireNonNull(jobChanges, "jobChanges is null");
 		this.jobs = Objects.requireNonNull(jobs, "jobs is null");
 	}
 
 	@Override
 	public WaitingTokens reported(Route route, Optional<String> account) {
-		return this.loads.waitingTokens(route.backlogKey(account));
+		return this.exchange.waitingTokens(route.backlogKey(account));
 	}
 
 	@Override
@@ -51,17 +51,17 @@
 
 	@Override
 	public void recentlyAccepted(Supplier<Map<Integer, Long>> accepted) {
-		this.loads.acceptedBacklog(accepted);
+		this.exchange.acceptedBacklog(accepted);
 	}
 
 	@Override
 	public void sendReport() {
-		this.loads.flush();
+		this.exchange.flush();
 	}
 
 	@Override
 	public void jobChanged(String jobId, boolean ended) {
-		this.changes.changed(jobId, ended);
+		this.jobChanges.changed(jobId, ended);
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/MetricsHandler.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/MetricsHandler.java
@@ -7,13 +7,13 @@
 import org.ragworthook.gateway.metrics.GatewayMetrics;
 
 /**
- * Shows the metrics of this process at {@code /metrics}.
+ * Serves the metrics of this process at {@code /metrics}.
  */
-final class MetricsServer implements Handler<HttpServerRequest> {
+final class MetricsHandler implements Handler<HttpServerRequest> {
 
 	private final GatewayMetrics metrics;
 
-	MetricsServer(GatewayMetrics metrics) {
+	MetricsHandler(GatewayMetrics metrics) {
 		this.metrics = Objects.requireNonNull(metrics, "metrics is null");
 	}
 
@@ -23,7 +23,7 @@
 			request.response().setStatusCode(404).end();
 			return;
 		}
-		request.response().putHeader("Content-Type", "text/plain; version=0.0.4").end(this.metrics.text());
+		request.response().putHeader("Content-Type", "text/plain; version=0.0.4").end(this.metrics.scrape());
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PauseDetector.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PauseDetector.java
@@ -7,87 +7,89 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Notices that this process was paused: by the machine, the operator or itself.
+ * Detects that this process was paused: by the machine, by an operator's signal, or by
+ * its own garbage collection.
  * <p>
- * A process that wakes goes on as if no time had passed. What came in meanwhile looks as
- * if it came now, and what it knew looks as if it still held. Used on the event loop.
+ * A process that resumes continues as if no time had passed. Reports that arrived during
+ * the pause appear to arrive now, and what the process knew before appears to be still
+ * valid. Used on the event loop.
  */
-final class PauseWatch {
+final class PauseDetector {
 
-	private static final Duration LOOK = Duration.ofMillis(100);
+	private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * How late a look may be before that counts as a pause. A busy process on a third of
-	 * a processor is late by some ten milliseconds.
+	 * How long after the last check a check counts as the end of a pause. The checks of a
+	 * busy process on a third of a processor are late by some ten milliseconds.
 	 */
-	private static final Duration LATE = Duration.ofMillis(400);
+	private static final Duration PAUSE_THRESHOLD = Duration.ofMillis(400);
 
 	/**
-	 * How long what is heard after a pause is not trusted: as long as what the kernel has
-	 * kept is read, and peers have reported anew.
+	 * How long received reports are not trusted after a pause: until the socket buffer
+	 * has been read and peers have reported again.
 	 */
-	private static final Duration UNSTEADY = Duration.ofMillis(1_000);
+	private static final Duration RECOVERY_TIME = Duration.ofMillis(1_000);
 
 	private final Ticker ticker;
 
 	private final Timers timers;
 
-	private long lookedNanos;
+	private long checkedNanos;
 
-	private long unsteadyUntilNanos;
+	private long stableFromNanos;
 
 	private int pauses;
 
-	private PauseWatch(Ticker ticker, Timers timers) {
+	private PauseDetector(Ticker ticker, Timers timers) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
-		this.lookedNanos = ticker.nanos();
-		this.unsteadyUntilNanos = this.lookedNanos;
+		this.checkedNanos = ticker.nanos();
+		this.stableFromNanos = this.checkedNanos;
 	}
 
 	/**
-	 * Begins to watch.
-	 * @param ticker the time
-	 * @param timers runs tasks later, on the event loop
-	 * @return the watch
+	 * Starts a detector.
+	 * @param ticker the monotonic clock
+	 * @param timers schedules the checks, on the event loop
+	 * @return the detector
 	 */
-	static PauseWatch start(Ticker ticker, Timers timers) {
-		PauseWatch watch = new PauseWatch(ticker, timers);
-		timers.schedule(LOOK, watch::round);
-		return watch;
+	static PauseDetector start(Ticker ticker, Timers timers) {
+		PauseDetector detector = new PauseDetector(ticker, timers);
+		timers.schedule(CHECK_INTERVAL, detector::round);
+		return detector;
 	}
 
 	private void round() {
-		look();
-		this.timers.schedule(LOOK, this::round);
+		check();
+		this.timers.schedule(CHECK_INTERVAL, this::round);
 	}
 
-	private void look() {
+	private void check() {
 		long now = this.ticker.nanos();
-		if (now - this.lookedNanos >= LATE.toNanos()) {
+		if (now - this.checkedNanos >= PAUSE_THRESHOLD.toNanos()) {
 			this.pauses++;
-			this.unsteadyUntilNanos = now + UNSTEADY.toNanos();
+			this.stableFromNanos = now + RECOVERY_TIME.toNanos();
 		}
-		this.lookedNanos = now;
+		this.checkedNanos = now;
 	}
 
 	/**
-	 * Returns how often the process was paused so far, a pause that has just ended
-	 * included.
-	 * @return the count
+	 * Returns the number of pauses since the start of the process, including one that has
+	 * just ended.
+	 * @return the number of pauses
 	 */
 	int pauses() {
-		look();
+		check();
 		return this.pauses;
 	}
 
 	/**
-	 * Tells whether the process was not paused a moment ago.
-	 * @return whether what it has heard can be trusted
+	 * Returns whether the process was not paused recently.
+	 * @return whether received reports can be trusted to be as recent as they appear
 	 */
-	boolean steady() {
-		look();
-		return this.ticker.nanos() - this.unsteadyUntilNanos >= 0;
+	boolean stable() {
+		check();
+		return this.ticker.nanos() - this.stableFromNanos >= 0;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerReports.java
@@ -16,60 +16,61 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * What a process tells its peers and hears from them, all of it in load reports.
+ * The exchange of load reports with the peers and the sections of these reports.
  *
- * @param loads what processes have at upstreams
- * @param dispatch questions for slots and their answers
- * @param slots asks for slots
- * @param listings results that are listed
- * @param changedJobs jobs that were accepted or ended
- * @param pauses tells whether what was heard can be trusted
+ * @param exchange sends and receives the reports
+ * @param dispatch the section with requests for slots and the answers to them
+ * @param dispatchClient requests slots for online requests of this process
+ * @param listings the section with listed results
+ * @param jobChanges the section with jobs that were accepted or ended
+ * @param pauseDetector detects pauses, after which received reports cannot be trusted
  */
-record PeerLinks(LoadExchange loads, DispatchReports dispatch, DispatchClient slots, ListingReports listings,
-		JobChangeReports changedJobs, PauseWatch pauses) implements AutoCloseable {
+record PeerReports(LoadExchange exchange, DispatchReports dispatch, DispatchClient dispatchClient,
+		ListingReports listings, JobChangeReports jobChanges, PauseDetector pauseDetector) implements AutoCloseable {
 
-	PeerLinks {
-		Objects.requireNonNull(loads, "loads is null");
+	PeerReports {
+		Objects.requireNonNull(exchange, "exchange is null");
 		Objects.requireNonNull(dispatch, "dispatch is null");
-		Objects.requireNonNull(slots, "slots is null");
+		Objects.requireNonNull(dispatchClient, "dispatchClient is null");
 		Objects.requireNonNull(listings, "listings is null");
-		Objects.requireNonNull(changedJobs, "changedJobs is null");
-		Objects.requireNonNull(pauses, "pauses is null");
+		Objects.requireNonNull(jobChanges, "jobChanges is null");
+		Objects.requireNonNull(pauseDetector, "pauseDetector is null");
 	}
 
 	/**
-	 * Begins to tell and to hear.
-	 * @param self how this process shows itself
-	 * @param failureDomain its failure domain
-	 * @param upstreams the upstreams whose loads are told
-	 * @param suspects the requests that make upstreams crash
+	 * Begins to send and receive reports.
+	 * @param self the identity of this process
+	 * @param failureDomain the failure domain of this process
+	 * @param upstreams the upstreams whose loads are reported
+	 * @param suspects the requests during which upstreams broke off
 	 * @param loop the event loop
-	 * @param ticker the time
-	 * @param timers runs tasks later, on the event loop
-	 * @return the links
+	 * @param ticker the monotonic clock
+	 * @param timers schedules tasks on the event loop
+	 * @return the exchange and its sections
 	 */
-	static PeerLinks start(PeerIdentity self, String failureDomain, UpstreamRegistry upstreams,
+	static PeerReports start(PeerIdentity self, String failureDomain, UpstreamRegistry upstreams,
 			PoisonRequestDetector suspects, EventLoop loop, Ticker ticker, Timers timers) {
-		LoadExchange loads = LoadExchange.start(loop, ticker, upstreams, suspects, self);
-		DispatchReports dispatch = DispatchReports.attach(loads, loop, ticker, self.instance(), failureDomain);
-		DispatchClient slots = DispatchClient.of(ticker, timers, dispatch);
-		dispatch.client(slots);
-		PauseWatch pauses = PauseWatch.start(ticker, timers);
-		return new PeerLinks(loads, dispatch, slots, ListingReports.register(loads, pauses::steady),
-				JobChangeReports.register(loads, ticker), pauses);
+		LoadExchange exchange = LoadExchange.start(loop, ticker, upstreams, suspects, self);
+		DispatchReports dispatch = DispatchReports.attach(exchange, loop, ticker, self.instance(), failureDomain);
+		DispatchClient dispatchClient = DispatchClient.of(ticker, timers, dispatch);
+		dispatch.client(dispatchClient);
+		PauseDetector pauseDetector = PauseDetector.start(ticker, timers);
+		return new PeerReports(exchange, dispatch, dispatchClient,
+				ListingReports.register(exchange, pauseDetector::stable), JobChangeReports.register(exchange, ticker),
+				pauseDetector);
 	}
 
 	/**
-	 * Returns which processes there are, as far as this one hears.
-	 * @return the view
+	 * Returns the view of all processes of the fleet.
+	 * @return the view, which changes as reports arrive
 	 */
 	FleetView fleet() {
-		return this.loads.fleet();
+		return this.exchange.fleet();
 	}
 
 	@Override
 	public void close() {
-		this.loads.close();
+		this.exchange.close();
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PlatformBounds.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PlatformBounds.java
@@ -5,28 +5,28 @@
 import java.util.Optional;
 
 /**
- * How soon changes at the platform have to hold in a process, and how long the platform
- * remembers them.
+ * The time bounds that the platform sets: how soon changes must take effect in a process,
+ * and how long the platform retains them.
  *
- * @param drainDeadline how soon after an upstream says that it leaves nothing may be sent
- * to it any longer
- * @param historyRetention how long the platform can tell of a change; a watch that waits
- * longer is told to list anew
- * @param maxRevocationDelay how long after its revocation a key may still be accepted by
- * a process, cut off or not; empty for no bound
+ * @param drainDeadline how soon after an upstream has announced that it leaves no more
+ * requests may be sent to it
+ * @param historyRetention how long the platform can deliver a change; a watch that
+ * resumes from an older version has to list anew
+ * @param maxRevocationDelay how long after its revocation a key may still be accepted,
+ * also by a process that is cut off; empty for no bound
  */
 public record PlatformBounds(Duration drainDeadline, Duration historyRetention, Optional<Duration> maxRevocationDelay) {
 
-	/** What holds where the platform states nothing. */
+	/** The bounds of a platform that states none. */
 	public static final PlatformBounds DEFAULT = new PlatformBounds(Duration.ofSeconds(2), Duration.ofSeconds(20),
 			Optional.empty());
 
-	private static final Duration LONGEST_WATCH = Duration.ofSeconds(25);
+	private static final Duration MAX_WATCH_TIMEOUT = Duration.ofSeconds(25);
 
-	private static final double PART_OF_HISTORY = 0.8;
+	private static final double HISTORY_FRACTION = 0.8;
 
 	/**
-	 * Checks the parts.
+	 * Checks that no component is null.
 	 */
 	public PlatformBounds {
 		Objects.requireNonNull(drainDeadline, "drainDeadline is null");
@@ -35,12 +35,13 @@
 	}
 
 	/**
-	 * Returns how long one call waits for changes.
-	 * @return less than the platform remembers, so that a quiet watch can go on
+	 * Returns how long one watch call waits for changes.
+	 * @return less than the retention of the history, so that a watch without changes can
+	 * be resumed
 	 */
-	Duration watch() {
-		Duration remembered = Duration.ofNanos((long) (this.historyRetention.toNanos() * PART_OF_HISTORY));
-		return (remembered.compareTo(LONGEST_WATCH) < 0) ? remembered : LONGEST_WATCH;
+	Duration watchTimeout() {
+		Duration limit = Duration.ofNanos((long) (this.historyRetention.toNanos() * HISTORY_FRACTION));
+		return (limit.compareTo(MAX_WATCH_TIMEOUT) < 0) ? limit : MAX_WATCH_TIMEOUT;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/ReadinessHandler.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/ReadinessHandler.java
@@ -8,17 +8,18 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * Tells the balancer whether this process wants new connections.
+ * Answers the balancer whether this process accepts new connections: 200 if so, otherwise
+ * 503.
  */
-final class ReadinessServer implements Handler<HttpServerRequest> {
+final class ReadinessHandler implements Handler<HttpServerRequest> {
 
-	private static final EventLog LOG = EventLog.of(ReadinessServer.class);
+	private static final EventLog LOG = EventLog.of(ReadinessHandler.class);
 
 	private final BooleanSupplier ready;
 
 	private boolean last;
 
-	ReadinessServer(BooleanSupplier ready) {
+	ReadinessHandler(BooleanSupplier ready) {
 		this.ready = Objects.requireNonNull(ready, "ready is null");
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/RetirementListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/RetirementListener.java
@@ -16,22 +16,25 @@
 import org.ragworthook.gateway.peer.LoadExchange;
 
 /**
- * Empties this instance when the operator asks for it. Nothing is kept here that the
- * store does not have, so handing over the jobs is all there is to do.
+ * Drains this instance when the operator retires it: stops running jobs, hands them over
+ * to other processes and reports to the platform that the instance can be removed. The
+ * process holds no state that the store does not have.
  */
-final class Retirement implements FeedListener<Boolean> {
+final class RetirementListener implements FeedListener<Boolean> {
 
-	private static final EventLog LOG = EventLog.of(Retirement.class);
+	private static final EventLog LOG = EventLog.of(RetirementListener.class);
 
-	/** How often to look whether the last results are listed. */
-	private static final Duration LOOK = Duration.ofMillis(50);
+	/** How often to check whether the last results are listed. */
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
-	/** The pause after the platform did not take the report. */
-	private static final Duration REPORT_AGAIN = Duration.ofMillis(300);
+	/**
+	 * The delay before the next attempt after the platform has not accepted the report.
+	 */
+	private static final Duration REPORT_RETRY_DELAY = Duration.ofMillis(300);
 
 	private final String instance;
 
-	private final LoadExchange loads;
+	private final LoadExchange exchange;
 
 	private final JobRunner runner;
 
@@ -41,12 +44,12 @@
 
 	private final Executor loop;
 
-	private boolean begun;
+	private boolean started;
 
-	Retirement(String instance, LoadExchange loads, JobRunner runner, Function<String, CompletableFuture<Void>> report,
-			Timers timers, Executor loop) {
+	RetirementListener(String instance, LoadExchange exchange, JobRunner runner,
+			Function<String, CompletableFuture<Void>> report, Timers timers, Executor loop) {
 		this.instance = Objects.requireNonNull(instance, "instance is null");
-		this.loads = Objects.requireNonNull(loads, "loads is null");
+		this.exchange = Objects.requireNonNull(exchange, "exchange is null");
 		this.runner = Objects.requireNonNull(runner, "runner is null");
 		this.report = Objects.requireNonNull(report, "report is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
@@ -60,20 +63,20 @@
 
 	@Override
 	public void changed(Change<Boolean> change) {
-		if (this.begun || !change.name().equals(this.instance) || change.value().isEmpty()) {
+		if (this.started || !change.name().equals(this.instance) || change.value().isEmpty()) {
 			return;
 		}
-		this.begun = true;
+		this.started = true;
 		LOG.info("retiring", "instance", this.instance);
 		this.runner.stop().whenCompleteAsync((saved, failure) -> {
-			this.loads.leave();
+			this.exchange.leave();
 			report();
 		}, this.loop);
 	}
 
 	private void report() {
 		if (this.runner.hasUnpublishedResults()) {
-			this.timers.schedule(LOOK, this::report);
+			this.timers.schedule(POLL_INTERVAL, this::report);
 			return;
 		}
 		this.report.apply(this.instance).whenCompleteAsync((done, failure) -> {
@@ -82,7 +85,7 @@
 			}
 			else {
 				LOG.warning("retirement_not_reported", "error", Failures.root(failure));
-				this.timers.schedule(REPORT_AGAIN, this::report);
+				this.timers.schedule(REPORT_RETRY_DELAY, this::report);
 			}
 		}, this.loop);
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/ServerStarter.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/ServerStarter.java
@@ -14,14 +14,14 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Listens, and tries again while it cannot: the process before this one may hold the port
- * for a moment longer.
+ * Starts servers, and retries while a port cannot be bound: the process that this one
+ * replaces may hold the port for a moment longer.
  */
-final class Listening {
+final class ServerStarter {
 
-	private static final EventLog LOG = EventLog.of(Listening.class);
+	private static final EventLog LOG = EventLog.of(ServerStarter.class);
 
-	private static final Duration AGAIN = Duration.ofMillis(200);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
 	private final Vertx vertx;
 
@@ -29,20 +29,20 @@
 
 	private final BooleanSupplier leaving;
 
-	Listening(Vertx vertx, Timers timers, BooleanSupplier leaving) {
+	ServerStarter(Vertx vertx, Timers timers, BooleanSupplier leaving) {
 		this.vertx = Objects.requireNonNull(vertx, "vertx is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
 		this.leaving = Objects.requireNonNull(leaving, "leaving is null");
 	}
 
 	/**
-	 * Listens for requests that are answered at once.
-	 * @param what for whom, for the log
-	 * @param address where
-	 * @param handler answers
+	 * Starts an HTTP server.
+	 * @param name the name of the server in the log
+	 * @param address the address to listen on
+	 * @param handler answers the requests
 	 */
-	void start(String what, Address address, Handler<HttpServerRequest> handler) {
-		start(what,
+	void start(String name, Address address, Handler<HttpServerRequest> handler) {
+		start(name,
 				() -> this.vertx.createHttpServer()
 					.requestHandler(handler)
 					.listen(address.port(), address.host())
@@ -50,19 +50,19 @@
 	}
 
 	/**
-	 * Has a server listen.
-	 * @param what for whom, for the log
-	 * @param server begins to listen
+	 * Starts a server.
+	 * @param name the name of the server in the log
+	 * @param server makes one attempt to listen
 	 */
-	void start(String what, Supplier<Future<Void>> server) {
+	void start(String name, Supplier<Future<Void>> server) {
 		server.get().onComplete((done) -> {
 			if (done.succeeded()) {
-				LOG.info("listening", "for", what);
+				LOG.info("listening", "for", name);
 				return;
 			}
-			LOG.warning("not_listening", "for", what, "error", done.cause());
+			LOG.warning("not_listening", "for", name, "error", done.cause());
 			if (!this.leaving.getAsBoolean()) {
-				this.timers.schedule(AGAIN, () -> start(what, server));
+				this.timers.schedule(RETRY_DELAY, () -> start(name, server));
 			}
 		});
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/package-info.java
@@ -1,4 +1,5 @@
 /**
- * A process of the gateway: its parts, its start and its stop.
+ * A process of the gateway: wires its parts together, starts and stops it, and drains it
+ * when its instance is retired.
  */
 package org.ragworthook.gateway.process;
