--- a/modules/core/src/main/java/org/ragworthook/core/routing/Choice.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Choice.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * An upstream chosen for one attempt. The attempt is counted at the upstream until the
- * choice is released.
+ * The upstream selected for one attempt. The attempt counts towards the upstream's
+ * outstanding requests until {@link #release} is called.
  */
 public final class Choice {
 
@@ -24,15 +24,15 @@
 	}
 
 	/**
-	 * Returns the upstream.
-	 * @return the upstream that was chosen
+	 * Returns the selected upstream.
+	 * @return the upstream
 	 */
 	public Upstream upstream() {
 		return this.upstream;
 	}
 
 	/**
-	 * Returns what the choice was made by.
+	 * Returns why the upstream was selected.
 	 * @return the reason
 	 */
 	public Reason reason() {
@@ -40,44 +40,48 @@
 	}
 
 	/**
-	 * Ends the attempt. Further calls have no effect.
-	 * @param fared how the upstream fared
+	 * Ends the attempt and reports its outcome to the outlier detector. Further calls
+	 * have no effect.
+	 * @param outcome how the attempt ended for the upstream
 	 */
-	public void release(Outcome fared) {
-		Objects.requireNonNull(fared, "fared is null");
+	public void release(Outcome outcome) {
+		Objects.requireNonNull(outcome, "outcome is null");
 		if (this.released.compareAndSet(false, true)) {
-			this.router.released(this.upstream, fared);
+			this.router.released(this.upstream, outcome);
 		}
 	}
 
 	/**
-	 * What a choice was made by.
+	 * Why an upstream was selected.
 	 */
 	public enum Reason {
 
-		/** The beginning of the prompt is likely to be in its cache. */
+		/** The upstream is likely to have the beginning of the prompt in its cache. */
 		PREFIX,
 
-		/** It has the least to do. */
+		/** The upstream has the lowest load in the entry's own failure domain. */
 		LEAST_LOADED,
 
-		/** The own failure domain is short, and it has the least to do elsewhere. */
+		/**
+		 * The entry's own failure domain has no free capacity, and the upstream has the
+		 * lowest load in the others.
+		 */
 		OTHER_DOMAIN
 
 	}
 
 	/**
-	 * How an upstream fared with an attempt.
+	 * The outcome of an attempt as evidence about the health of the upstream.
 	 */
 	public enum Outcome {
 
-		/** It answered. */
+		/** The upstream answered. */
 		SUCCESS,
 
-		/** It failed, was lost, or did not take the request. */
+		/** The upstream failed, was disconnected, or did not accept the request. */
 		FAILURE,
 
-		/** The attempt says nothing about it. */
+		/** The attempt says nothing about the health of the upstream. */
 		UNKNOWN
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Hashing.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Hashing.java
@@ -5,7 +5,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The hash that every entry computes alike.
+ * Hash functions with the same results in every process, so that all entries derive the
+ * same hash ring and subsets.
  */
 final class Hashing {
 
@@ -17,10 +18,10 @@
 	}
 
 	/**
-	 * Mixes two hashes into one, by the finalizer of MurmurHash3.
+	 * Combines two hashes with the finalizer of MurmurHash3.
 	 * @param first a hash
 	 * @param second a hash
-	 * @return a hash of both
+	 * @return the combined hash
 	 */
 	static long mix(long first, long second) {
 		long hash = first ^ Long.rotateLeft(second, 32) ^ (second * 0x9E3779B97F4A7C15L);
--- a/modules/core/src/main/java/org/ragworthook/core/routing/OutlierDetector.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/OutlierDetector.java
@@ -5,22 +5,22 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Takes an upstream that keeps failing out of the choice for a while and lets it back in
- * slowly.
+ * Ejects an upstream that keeps failing from load balancing for a while, then readmits it
+ * gradually.
  * <p>
- * An upstream that fails at once always looks idle, so least outstanding would send it
- * ever more requests; one notices by failures that grow although few upstreams are ill.
- * After some failures in a row it is left out, twice as long each time, and on its return
- * its share of requests rises from a tenth to the whole.
+ * An upstream that fails immediately always looks idle, so least-outstanding balancing
+ * would send it more and more requests. After a number of consecutive failures the
+ * upstream is ejected, for twice as long each time; when readmitted, its share of
+ * requests rises linearly from a tenth to the full share.
  */
 public final class OutlierDetector {
 
-	/** The share of requests of an upstream that is well. */
+	/** The share of requests of a healthy upstream. */
 	public static final double FULL_SHARE = 1.0;
 
-	private static final double FIRST_SHARE = 0.1;
+	private static final double INITIAL_SHARE = 0.1;
 
-	private static final int LONGEST_DOUBLING = 6;
+	private static final int MAX_DOUBLINGS = 6;
 
 	private final Settings settings;
 
@@ -32,7 +32,7 @@
 
 	/**
 	 * Returns a detector for one upstream.
-	 * @param settings when to leave it out and for how long
+	 * @param settings when to eject the upstream and for how long
 	 * @return a new detector
 	 */
 	public static OutlierDetector of(Settings settings) {
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Learns that the upstream answered.
+	 * Called when the upstream has answered a request.
 	 * @param now the ticker's reading
 	 */
 	public void succeeded(long now) {
@@ -48,12 +48,12 @@
 		if (current.failures() == 0 && (current.ejections() == 0 || share(now) < FULL_SHARE)) {
 			return;
 		}
-		this.state.updateAndGet(
-				(old) -> new State(0, (share(old, now) < FULL_SHARE) ? old.ejections() : 0, old.from(), old.until()));
+		this.state.updateAndGet((old) -> new State(0, (share(old, now) < FULL_SHARE) ? old.ejections() : 0,
+				old.ejectedAt(), old.ejectedUntil()));
 	}
 
 	/**
-	 * Learns that the upstream failed a request.
+	 * Called when the upstream has failed a request.
 	 * @param now the ticker's reading
 	 */
 	public void failed(long now) {
@@ -61,23 +61,24 @@
 	}
 
 	private State afterFailure(State old, long now) {
-		boolean out = old.ejections() > 0 && now - old.until() < 0;
-		if (out) {
+		boolean ejected = old.ejections() > 0 && now - old.ejectedUntil() < 0;
+		if (ejected) {
 			return old;
 		}
-		// On its slow return a single failure shows that it is still ill.
-		boolean returning = old.ejections() > 0 && share(old, now) < FULL_SHARE;
-		if (!returning && old.failures() + 1 < this.settings.failures()) {
-			return new State(old.failures() + 1, old.ejections(), old.from(), old.until());
+		// While the upstream is being readmitted, a single failure shows that it is
+		// still unhealthy.
+		boolean ramping = old.ejections() > 0 && share(old, now) < FULL_SHARE;
+		if (!ramping && old.failures() + 1 < this.settings.failures()) {
+			return new State(old.failures() + 1, old.ejections(), old.ejectedAt(), old.ejectedUntil());
 		}
-		long length = this.settings.ejection().toNanos() << Math.min(old.ejections(), LONGEST_DOUBLING);
+		long length = this.settings.ejection().toNanos() << Math.min(old.ejections(), MAX_DOUBLINGS);
 		return new State(0, old.ejections() + 1, now, now + length);
 	}
 
 	/**
-	 * Returns the share of its requests that the upstream should get.
-	 * @param now the ticker's reading
-	 * @return zero while it is left out, then rising to one
+	 * Returns the fraction of its usual requests that the upstream should get.
+	 * @param now the ticker's reading, in nanoseconds
+	 * @return zero while it is ejected, then rising from 0.1 to one
 	 */
 	public double share(long now) {
 		return share(this.state.get(), now);
@@ -87,28 +88,32 @@
 		if (current.ejections() == 0) {
 			return FULL_SHARE;
 		}
-		long back = now - current.until();
-		if (back < 0) {
+		long sinceReadmission = now - current.ejectedUntil();
+		if (sinceReadmission < 0) {
 			return 0;
 		}
 		long ramp = this.settings.ramp().toNanos();
-		return (back >= ramp) ? FULL_SHARE : FIRST_SHARE + (FULL_SHARE - FIRST_SHARE) * back / ramp;
+		return (sinceReadmission >= ramp) ? FULL_SHARE
+				: INITIAL_SHARE + (FULL_SHARE - INITIAL_SHARE) * sinceReadmission / ramp;
 	}
 
 	/**
-	 * When an upstream is left out and for how long.
+	 * When an upstream is ejected and for how long.
 	 *
-	 * @param failures how many failures in a row it takes
-	 * @param ejection how long it is left out the first time
-	 * @param ramp how long its return takes
+	 * @param failures the number of consecutive failures that cause an ejection
+	 * @param ejection the duration of the first ejection
+	 * @param ramp the time in which the share rises to one after an ejection
 	 */
 	public record Settings(int failures, Duration ejection, Duration ramp) {
 
-		/** Three failures in a row, a second, and a return within five seconds. */
+		/**
+		 * Ejects after three consecutive failures for one second, and readmits over five
+		 * seconds.
+		 */
 		public static final Settings DEFAULT = new Settings(3, Duration.ofSeconds(1), Duration.ofSeconds(5));
 
 		/**
-		 * Checks the parts.
+		 * Checks the components.
 		 */
 		public Settings {
 			Objects.requireNonNull(ejection, "ejection is null");
@@ -120,7 +125,7 @@
 
 	}
 
-	private record State(int failures, int ejections, long from, long until) {
+	private record State(int failures, int ejections, long ejectedAt, long ejectedUntil) {
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/routing/PrefixKey.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/PrefixKey.java
@@ -7,8 +7,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Keys of prompt prefixes. Requests whose prompts begin alike get the same key, so that
- * they meet at an engine that still has the beginning in its cache.
+ * Computes keys of prompt prefixes for cache-aware routing. Requests whose prompts begin
+ * with the same text get the same key and are routed to the same engine, which then has
+ * the prefix in its cache.
  */
 public final class PrefixKey {
 
@@ -23,9 +24,9 @@
 	 * Returns the key of a prompt: the hash of its leading whole blocks, at most four of
 	 * 256 bytes.
 	 * @param model the model, since caches of different models share nothing
-	 * @param prompt the prompt from its beginning
-	 * @return the key, or empty if the prompt is shorter than a block and so not worth a
-	 * detour
+	 * @param prompt the prompt
+	 * @return the key, or empty if the prompt is shorter than one block, where a cache
+	 * hit would save too little
 	 */
 	public static OptionalLong of(String model, String prompt) {
 		Objects.requireNonNull(model, "model is null");
--- a/modules/core/src/main/java/org/ragworthook/core/routing/RouteRequest.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/RouteRequest.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * What a choice depends on.
+ * The properties of a request that affect the selection of its upstream.
  *
- * @param model the model that must be loaded, or the empty text for any
- * @param prefix the key of the prompt's beginning, if it has one
- * @param tried upstreams that are not to be chosen again
+ * @param model the model that must be loaded, or an empty string for any
+ * @param prefix the key of the prompt's prefix, if there is one
+ * @param tried upstreams that were tried before and must not be selected again
  */
 public record RouteRequest(String model, OptionalLong prefix, Set<Upstream> tried) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public RouteRequest {
 		Objects.requireNonNull(model, "model is null");
@@ -24,8 +24,8 @@
 
 	/**
 	 * Returns a request for a model.
-	 * @param model the model, or the empty text for any
-	 * @param prefix the key of the prompt's beginning, if it has one
+	 * @param model the model, or an empty string for any
+	 * @param prefix the key of the prompt's prefix, if there is one
 	 * @return the request
 	 */
 	public static RouteRequest of(String model, OptionalLong prefix) {
@@ -33,9 +33,9 @@
 	}
 
 	/**
-	 * Returns the request without some upstreams.
-	 * @param upstreams those already tried
-	 * @return the request
+	 * Returns a copy that excludes upstreams.
+	 * @param upstreams the upstreams that were tried before
+	 * @return the copy
 	 */
 	public RouteRequest without(Set<Upstream> upstreams) {
 		return new RouteRequest(this.model, this.prefix, upstreams);
--- a/modules/core/src/main/java/org/ragworthook/core/routing/RouteTable.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/RouteTable.java
@@ -8,24 +8,24 @@
 import org.ragworthook.core.fleet.FailureDomain;
 
 /**
- * The upstreams of one service as an entry may choose among them: those of its own
- * failure domain and the others. Immutable; a change makes a new table.
+ * The upstreams of one service that an entry can route to, split into those in its own
+ * failure domain and the others. Immutable; each change creates a new table.
  */
 public final class RouteTable {
 
 	private static final RouteTable EMPTY = new RouteTable(new UpstreamGroup(List.of()), new UpstreamGroup(List.of()));
 
-	private final UpstreamGroup near;
+	private final UpstreamGroup local;
 
-	private final UpstreamGroup far;
+	private final UpstreamGroup remote;
 
-	private RouteTable(UpstreamGroup near, UpstreamGroup far) {
-		this.near = near;
-		this.far = far;
+	private RouteTable(UpstreamGroup local, UpstreamGroup remote) {
+		this.local = local;
+		this.remote = remote;
 	}
 
 	/**
-	 * Returns the table without upstreams.
+	 * Returns a table without upstreams.
 	 * @return the empty table
 	 */
 	public static RouteTable empty() {
@@ -33,45 +33,45 @@
 	}
 
 	/**
-	 * Returns a table.
+	 * Returns a table of upstreams.
 	 * @param own the failure domain of the entry
-	 * @param upstreams all upstreams that it may choose
+	 * @param upstreams the upstreams that the entry can route to
 	 * @return the table
 	 */
 	public static RouteTable of(FailureDomain own, Collection<Upstream> upstreams) {
 		Objects.requireNonNull(own, "own is null");
-		List<Upstream> near = new ArrayList<>();
-		List<Upstream> far = new ArrayList<>();
+		List<Upstream> local = new ArrayList<>();
+		List<Upstream> remote = new ArrayList<>();
 		for (Upstream upstream : upstreams) {
-			(upstream.instance().failureDomain().equals(own) ? near : far).add(upstream);
+			(upstream.instance().failureDomain().equals(own) ? local : remote).add(upstream);
 		}
-		return new RouteTable(new UpstreamGroup(near), new UpstreamGroup(far));
+		return new RouteTable(new UpstreamGroup(local), new UpstreamGroup(remote));
 	}
 
 	/**
-	 * Returns how many upstreams there are.
-	 * @return the number, in all failure domains
+	 * Returns the number of upstreams.
+	 * @return the number in all failure domains
 	 */
 	public int size() {
-		return this.near.size() + this.far.size();
+		return this.local.size() + this.remote.size();
 	}
 
 	/**
 	 * Returns all upstreams.
-	 * @return those of the own failure domain first
+	 * @return the upstreams, those in the entry's own failure domain first
 	 */
 	public List<Upstream> upstreams() {
-		List<Upstream> all = new ArrayList<>(this.near.members());
-		all.addAll(this.far.members());
+		List<Upstream> all = new ArrayList<>(this.local.members());
+		all.addAll(this.remote.members());
 		return all;
 	}
 
-	UpstreamGroup near() {
-		return this.near;
+	UpstreamGroup local() {
+		return this.local;
 	}
 
-	UpstreamGroup far() {
-		return this.far;
+	UpstreamGroup remote() {
+		return this.remote;
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Router.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Router.java
@@ -10,19 +10,19 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Chooses upstreams of one service. Any number of threads may choose at the same time;
- * none waits for another.
+ * Selects upstreams of one service, preferring the entry's own failure domain, prefix
+ * affinity and low load. Thread-safe and lock-free.
  */
 public final class Router {
 
-	/** Groups up to this size are looked through whole. */
-	private static final int SMALL = 16;
+	/** Groups up to this size are scanned completely instead of sampled. */
+	private static final int MAX_FULL_SCAN = 16;
 
 	private static final int SAMPLES = 3;
 
-	private static final int DRAWS = 12;
+	private static final int MAX_DRAWS = 12;
 
-	private static final int RING_STEPS = 4;
+	private static final int MAX_RING_STEPS = 4;
 
 	private final Ticker ticker;
 
@@ -42,7 +42,7 @@
 
 	/**
 	 * Returns a router without upstreams.
-	 * @param ticker the time
+	 * @param ticker the monotonic clock
 	 * @return a new router
 	 */
 	public static Router of(Ticker ticker) {
@@ -51,10 +51,10 @@
 
 	/**
 	 * Returns a router without upstreams.
-	 * @param ticker the time
-	 * @param random gives the random numbers of a choice
-	 * @param loadBound how many times the mean load an upstream may have and still be
-	 * preferred for a prefix
+	 * @param ticker the monotonic clock
+	 * @param random supplies the random generator of a selection
+	 * @param loadBound the load, as a multiple of the mean load, above which an upstream
+	 * is not preferred for a prefix
 	 * @return a new router
 	 */
 	public static Router of(Ticker ticker, Supplier<RandomGenerator> random, double loadBound) {
@@ -62,15 +62,15 @@
 	}
 
 	/**
-	 * Puts a new table in force. Choices made by the old one stay valid.
-	 * @param next the table
+	 * Replaces the route table. Choices made with the previous table stay valid.
+	 * @param next the new table
 	 */
 	public void update(RouteTable next) {
 		this.table = Objects.requireNonNull(next, "next is null");
 	}
 
 	/**
-	 * Returns the table in force.
+	 * Returns the current route table.
 	 * @return the table
 	 */
 	public RouteTable table() {
@@ -78,10 +78,10 @@
 	}
 
 	/**
-	 * Chooses an upstream and counts an attempt there.
-	 * @param request what the choice depends on
-	 * @return the choice, to be released when the attempt ends, or empty if there is no
-	 * upstream
+	 * Selects an upstream and counts an attempt there.
+	 * @param request the properties of the request
+	 * @return the choice, which must be released when the attempt ends, or empty if no
+	 * upstream can serve the request
 	 */
 	public Optional<Choice> choose(RouteRequest request) {
 		Objects.requireNonNull(request, "request is null");
@@ -91,15 +91,15 @@
 		if (preferred != null) {
 			return Optional.of(begin(preferred, Choice.Reason.PREFIX));
 		}
-		Upstream near = leastLoaded(current.near(), request, now);
-		if (near != null && !near.full()) {
-			return Optional.of(begin(near, Choice.Reason.LEAST_LOADED));
+		Upstream local = leastLoaded(current.local(), request, now);
+		if (local != null && !local.full()) {
+			return Optional.of(begin(local, Choice.Reason.LEAST_LOADED));
 		}
-		Upstream far = leastLoaded(current.far(), request, now);
-		if (far != null && (near == null || !far.full())) {
-			return Optional.of(begin(far, Choice.Reason.OTHER_DOMAIN));
+		Upstream remote = leastLoaded(current.remote(), request, now);
+		if (remote != null && (local == null || !remote.full())) {
+			return Optional.of(begin(remote, Choice.Reason.OTHER_DOMAIN));
 		}
-		return Optional.ofNullable(near).map((upstream) -> begin(upstream, Choice.Reason.LEAST_LOADED));
+		return Optional.ofNullable(local).map((upstream) -> begin(upstream, Choice.Reason.LEAST_LOADED));
 	}
 
 	private Choice begin(Upstream upstream, Choice.Reason reason) {
@@ -108,10 +108,10 @@
 		return new Choice(this, upstream, reason);
 	}
 
-	void released(Upstream upstream, Choice.Outcome fared) {
+	void released(Upstream upstream, Choice.Outcome outcome) {
 		upstream.end();
 		this.outstanding.decrementAndGet();
-		switch (fared) {
+		switch (outcome) {
 			case SUCCESS -> upstream.detector().succeeded(this.ticker.nanos());
 			case FAILURE -> upstream.detector().failed(this.ticker.nanos());
 			default -> {
@@ -121,16 +121,17 @@
 
 	// -- prefix affinity
 
-	// Walks the ring from the prefix's place. Without the bound on the load a popular
-	// prefix would fill one engine's queue while others idle.
+	// Consistent hashing with bounded loads: walks the ring from the prefix's position.
+	// Without the bound, a popular prefix would fill one engine's queue while others
+	// are idle.
 	private Upstream byPrefix(RouteTable current, RouteRequest request, long now) {
-		UpstreamGroup group = (current.near().size() > 0) ? current.near() : current.far();
+		UpstreamGroup group = (current.local().size() > 0) ? current.local() : current.remote();
 		if (request.prefix().isEmpty() || group.size() == 0) {
 			return null;
 		}
 		double bound = this.loadBound * (this.outstanding.get() + 1) / current.size();
 		int position = group.position(request.prefix().getAsLong());
-		for (int step = 0; step < RING_STEPS; step++) {
+		for (int step = 0; step < MAX_RING_STEPS; step++) {
 			Upstream candidate = group.owner(position + step);
 			if (candidate.outstanding() < Math.max(1, bound) && !candidate.full()
 					&& share(candidate, request, now) >= OutlierDetector.FULL_SHARE) {
@@ -146,22 +147,24 @@
 		if (group.size() == 0) {
 			return null;
 		}
-		RandomGenerator draw = this.random.get();
-		Upstream best = (group.size() <= SMALL) ? best(group, draw.nextInt(group.size()), group.size(), request, now)
-				: sampled(group, draw, request, now);
-		return (best != null) ? best : any(group, draw.nextInt(group.size()), request, now);
+		RandomGenerator random = this.random.get();
+		Upstream best = (group.size() <= MAX_FULL_SCAN)
+				? leastLoadedOfAll(group, random.nextInt(group.size()), group.size(), request, now)
+				: leastLoadedOfSample(group, random, request, now);
+		return (best != null) ? best : anyServing(group, random.nextInt(group.size()), request, now);
 	}
 
-	// Looking at three at random keeps the load within a hair of looking at all.
-	private Upstream sampled(UpstreamGroup group, RandomGenerator draw, RouteRequest request, long now) {
+	// The least loaded of three random candidates balances the load almost as well as a
+	// full scan.
+	private Upstream leastLoadedOfSample(UpstreamGroup group, RandomGenerator random, RouteRequest request, long now) {
 		Upstream best = null;
 		double bestScore = Double.MAX_VALUE;
-		int seen = 0;
-		for (int i = 0; i < DRAWS && seen < SAMPLES; i++) {
-			Upstream candidate = group.member(draw.nextInt(group.size()));
+		int sampled = 0;
+		for (int i = 0; i < MAX_DRAWS && sampled < SAMPLES; i++) {
+			Upstream candidate = group.member(random.nextInt(group.size()));
 			double share = share(candidate, request, now);
 			if (share > 0) {
-				seen++;
+				sampled++;
 				double score = candidate.score(share);
 				if (score < bestScore) {
 					best = candidate;
@@ -169,10 +172,11 @@
 				}
 			}
 		}
-		return (best != null) ? best : best(group, draw.nextInt(group.size()), group.size(), request, now);
+		return (best != null) ? best
+				: leastLoadedOfAll(group, random.nextInt(group.size()), group.size(), request, now);
 	}
 
-	private Upstream best(UpstreamGroup group, int from, int count, RouteRequest request, long now) {
+	private Upstream leastLoadedOfAll(UpstreamGroup group, int from, int count, RouteRequest request, long now) {
 		Upstream best = null;
 		double bestScore = Double.MAX_VALUE;
 		for (int i = 0; i < count; i++) {
@@ -196,9 +200,10 @@
 		return candidate.detector().share(now);
 	}
 
-	// Chooses although every upstream is ejected: when all look ill, it is more likely a
-	// request or the network that is, and refusing everything would make it an outage.
-	private static Upstream any(UpstreamGroup group, int from, RouteRequest request, long now) {
+	// Fallback when every upstream is ejected: if all of them fail, the cause is more
+	// likely a request or the network, and refusing all requests would turn that into
+	// an outage.
+	private static Upstream anyServing(UpstreamGroup group, int from, RouteRequest request, long now) {
 		for (int i = 0; i < group.size(); i++) {
 			Upstream candidate = group.member((from + i) % group.size());
 			if (!request.tried().contains(candidate) && candidate.serves(request.model(), now)) {
--- a/modules/core/src/main/java/org/ragworthook/core/routing/SubsetSelector.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/SubsetSelector.java
@@ -13,64 +13,66 @@
 import org.ragworthook.core.fleet.Instance;
 
 /**
- * Which of the sidecars of a service an entry links to. Every entry works it out alike
- * from the same list, by rendezvous hashing, so that it moves little when an instance
- * comes or goes:
+ * Selects the subset of a service's sidecars that an entry links to. Every entry computes
+ * it independently from the same instance list, by rendezvous hashing, so that few links
+ * change when an instance is added or removed:
  * <ul>
- * <li>a sidecar picks some entries of its own failure domain and one of another, so that
- * every sidecar is covered and stays covered when a failure domain is lost;</li>
- * <li>an entry picks some sidecars of its own, so that none is left without;</li>
- * <li>a small service is linked to whole.</li>
+ * <li>each sidecar is assigned to some entries in its own failure domain and to one in
+ * another, so that it keeps a link when a failure domain is lost;</li>
+ * <li>each entry has a minimum number of sidecars, so that no entry is left without;</li>
+ * <li>all sidecars of a small service are selected.</li>
  * </ul>
  */
 public final class SubsetSelector {
 
-	private final int cover;
+	private final int entriesPerSidecar;
 
-	private final int least;
+	private final int minSidecars;
 
-	private final int whole;
+	private final int maxForAll;
 
-	private SubsetSelector(int cover, int least, int whole) {
-		this.cover = cover;
-		this.least = least;
-		this.whole = whole;
+	private SubsetSelector(int entriesPerSidecar, int minSidecars, int maxForAll) {
+		this.entriesPerSidecar = entriesPerSidecar;
+		this.minSidecars = minSidecars;
+		this.maxForAll = maxForAll;
 	}
 
 	/**
-	 * Returns a rule.
-	 * @param cover how many entries of its own failure domain a sidecar has links to, at
-	 * least one
-	 * @param least how many sidecars an entry links to at least, where there are as many
-	 * @param whole up to how many sidecars an entry links to all
-	 * @return the rule
+	 * Returns a selector.
+	 * @param entriesPerSidecar the number of entries in its own failure domain that a
+	 * sidecar is assigned to, at least one
+	 * @param minSidecars the minimum number of sidecars of an entry, if there are as many
+	 * @param maxForAll the number of sidecars up to which all are selected
+	 * @return the selector
 	 */
-	public static SubsetSelector of(int cover, int least, int whole) {
-		if (cover < 1 || least < 1) {
-			throw new IllegalArgumentException("cover " + cover + " and least " + least + " are not both positive");
+	public static SubsetSelector of(int entriesPerSidecar, int minSidecars, int maxForAll) {
+		if (entriesPerSidecar < 1 || minSidecars < 1) {
+			throw new IllegalArgumentException("entriesPerSidecar " + entriesPerSidecar + " and minSidecars "
+					+ minSidecars + " are not both positive");
 		}
-		return new SubsetSelector(cover, least, whole);
+		return new SubsetSelector(entriesPerSidecar, minSidecars, maxForAll);
 	}
 
 	/**
-	 * Returns the rule that suits most fleets: three entries of the own failure domain
-	 * and one of another for each sidecar, eight sidecars at least, all up to 32.
-	 * @return the rule
+	 * Returns a selector with defaults for most fleets: three entries in its own failure
+	 * domain and one in another per sidecar, at least eight sidecars per entry, and all
+	 * sidecars up to 32.
+	 * @return the selector
 	 */
 	public static SubsetSelector defaults() {
 		return of(3, 8, 32);
 	}
 
 	/**
-	 * Works out the subset of an entry.
+	 * Selects the subset of an entry.
 	 * @param self the entry
-	 * @param entries all entries, with or without {@code self}
+	 * @param entries all entries; may omit {@code self}
 	 * @param sidecars all sidecars of a service
-	 * @return the sidecars that the entry links to
+	 * @return the sidecars that the entry has to link to
 	 */
 	public Set<Instance> of(Instance self, Collection<Instance> entries, Collection<Instance> sidecars) {
 		Objects.requireNonNull(self, "self is null");
-		if (sidecars.size() <= this.whole) {
+		if (sidecars.size() <= this.maxForAll) {
 			return new LinkedHashSet<>(sidecars);
 		}
 		List<Hashed> hashedEntries = Stream.concat(entries.stream(), Stream.of(self))
@@ -78,50 +80,51 @@
 			.map(Hashed::of)
 			.toList();
 		List<Hashed> hashedSidecars = sidecars.stream().map(Hashed::of).toList();
-		Set<Instance> chosen = new LinkedHashSet<>();
+		Set<Instance> selected = new LinkedHashSet<>();
 		for (Hashed sidecar : hashedSidecars) {
-			if (picks(sidecar, hashedEntries, self)) {
-				chosen.add(sidecar.instance());
+			if (assigns(sidecar, hashedEntries, self)) {
+				selected.add(sidecar.instance());
 			}
 		}
-		if (chosen.size() < this.least) {
+		if (selected.size() < this.minSidecars) {
 			Hashed hashedSelf = Hashed.of(self);
 			hashedSidecars.stream()
 				.sorted(Comparator.comparingLong((sidecar) -> Hashing.mix(hashedSelf.hash(), sidecar.hash())))
 				.map(Hashed::instance)
-				.filter((sidecar) -> !chosen.contains(sidecar))
-				.limit(this.least - (long) chosen.size())
-				.forEach(chosen::add);
+				.filter((sidecar) -> !selected.contains(sidecar))
+				.limit(this.minSidecars - (long) selected.size())
+				.forEach(selected::add);
 		}
-		return chosen;
+		return selected;
 	}
 
-	private boolean picks(Hashed sidecar, List<Hashed> entries, Instance self) {
+	private boolean assigns(Hashed sidecar, List<Hashed> entries, Instance self) {
 		FailureDomain domain = sidecar.instance().failureDomain();
-		List<Hashed> near = entries.stream()
+		List<Hashed> local = entries.stream()
 			.filter((entry) -> entry.instance().failureDomain().equals(domain))
 			.toList();
-		boolean own = self.failureDomain().equals(domain);
-		if (own) {
-			return rank(sidecar, near, self) < this.cover;
+		boolean isLocal = self.failureDomain().equals(domain);
+		if (isLocal) {
+			return rank(sidecar, local, self) < this.entriesPerSidecar;
 		}
-		// A failure domain with too few entries borrows the rest from the others.
-		int borrowed = 1 + Math.max(0, this.cover - near.size());
-		List<Hashed> far = new ArrayList<>(entries);
-		far.removeAll(near);
-		return rank(sidecar, far, self) < borrowed;
+		// If the failure domain has too few entries, the rest come from the other
+		// failure domains.
+		int remoteCount = 1 + Math.max(0, this.entriesPerSidecar - local.size());
+		List<Hashed> remote = new ArrayList<>(entries);
+		remote.removeAll(local);
+		return rank(sidecar, remote, self) < remoteCount;
 	}
 
-	// Returns how many entries a sidecar prefers to this one.
+	// Returns the number of entries that rank before this one for a sidecar.
 	private static int rank(Hashed sidecar, List<Hashed> entries, Instance self) {
-		long own = Hashing.mix(Hashing.of(self.id()), sidecar.hash());
-		int better = 0;
+		long selfScore = Hashing.mix(Hashing.of(self.id()), sidecar.hash());
+		int rank = 0;
 		for (Hashed entry : entries) {
-			if (Hashing.mix(entry.hash(), sidecar.hash()) < own) {
-				better++;
+			if (Hashing.mix(entry.hash(), sidecar.hash()) < selfScore) {
+				rank++;
 			}
 		}
-		return better;
+		return rank;
 	}
 
 	private record Hashed(Instance instance, long hash) {
--- a/modules/core/src/main/java/org/ragworthook/core/routing/Upstream.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/Upstream.java
@@ -11,16 +11,19 @@
 import org.ragworthook.core.fleet.Instance;
 
 /**
- * An upstream as one entry sees it: its sidecar's instance, the entry's own count of
- * requests there, what the sidecar last reported, and how it has fared. It lives on from
- * one route table to the next.
+ * An upstream as seen by one entry: its sidecar's instance, the entry's own outstanding
+ * requests, the last reported load and models, and an outlier detector. The same object
+ * is used in successive route tables.
  */
 public final class Upstream {
 
-	/** How long a model counts as missing after the upstream's own answer said so. */
+	/**
+	 * How long a model is considered missing after the upstream has answered that it is
+	 * not loaded.
+	 */
 	public static final Duration MODEL_MISSING_TTL = Duration.ofSeconds(2);
 
-	private static final int UNKNOWN_LIMIT = 16;
+	private static final int DEFAULT_LIMIT = 16;
 
 	private final Instance instance;
 
@@ -30,10 +33,13 @@
 
 	private final AtomicInteger outstanding = new AtomicInteger();
 
-	/** Requests of other entries in the upper half, the limit in the lower. */
-	private final AtomicLong report = new AtomicLong(UNKNOWN_LIMIT);
+	/**
+	 * Online requests of other entries in the upper 32 bits, concurrency limit in the
+	 * lower.
+	 */
+	private final AtomicLong report = new AtomicLong(DEFAULT_LIMIT);
 
-	private final Map<String, Long> lacking = new ConcurrentHashMap<>();
+	private final Map<String, Long> missingUntilNanos = new ConcurrentHashMap<>();
 
 	private volatile Set<String> models = Set.of();
 
@@ -44,9 +50,9 @@
 	}
 
 	/**
-	 * Returns an upstream without a load.
-	 * @param instance its sidecar
-	 * @param outliers when it is left out after failures
+	 * Returns an upstream without load.
+	 * @param instance the sidecar's instance
+	 * @param outliers when the upstream is ejected after failures
 	 * @return the upstream
 	 */
 	public static Upstream of(Instance instance, OutlierDetector.Settings outliers) {
@@ -54,8 +60,8 @@
 	}
 
 	/**
-	 * Returns an upstream without a load and with the usual outlier settings.
-	 * @param instance its sidecar
+	 * Returns an upstream without load and with default outlier settings.
+	 * @param instance the sidecar's instance
 	 * @return the upstream
 	 */
 	public static Upstream of(Instance instance) {
@@ -63,7 +69,7 @@
 	}
 
 	/**
-	 * Returns the sidecar of the upstream.
+	 * Returns the instance of the upstream's sidecar.
 	 * @return the instance
 	 */
 	public Instance instance() {
@@ -71,7 +77,7 @@
 	}
 
 	/**
-	 * Returns how this upstream has fared.
+	 * Returns the outlier detector of this upstream.
 	 * @return the detector
 	 */
 	public OutlierDetector detector() {
@@ -79,7 +85,7 @@
 	}
 
 	/**
-	 * Returns this entry's own requests at the upstream.
+	 * Returns the number of this entry's own requests at the upstream.
 	 * @return the count
 	 */
 	public int outstanding() {
@@ -87,11 +93,12 @@
 	}
 
 	/**
-	 * Takes in a report of the sidecar. The report lags: requests that this entry sent
-	 * since are not in it, and some that it counts have ended. Only what exceeds the
-	 * entry's own count is taken from it, as the load that others bring.
-	 * @param online online requests that run or wait there
-	 * @param limit how many requests the engine runs at once; 0 while it takes none
+	 * Called with a load report of the sidecar. Reports are delayed: they lack requests
+	 * that this entry has sent since, and count requests that have ended. Only the part
+	 * that exceeds the entry's own count is used, as the load caused by other entries.
+	 * @param online the number of online requests running or waiting there
+	 * @param limit the number of requests that the engine runs concurrently; 0 while it
+	 * accepts none
 	 */
 	public void loadReported(int online, int limit) {
 		long others = Math.max(0, online - this.outstanding.get());
@@ -99,31 +106,32 @@
 	}
 
 	/**
-	 * Learns which models are loaded.
-	 * @param names the models; none at all counts as any
+	 * Called with the models that the upstream has loaded.
+	 * @param names the names of the models; if empty, the upstream is assumed to serve
+	 * any model
 	 */
 	public void modelsReported(Set<String> names) {
 		this.models = Set.copyOf(names);
 	}
 
 	/**
-	 * Returns the load as far as it is known.
-	 * @return requests at the upstream, this entry's and the others'
+	 * Returns the estimated load.
+	 * @return the number of requests at the upstream, this entry's and the others'
 	 */
 	public int load() {
 		return this.outstanding.get() + (int) (this.report.get() >>> 32);
 	}
 
 	/**
-	 * Returns how many requests the engine runs at once.
-	 * @return the last limit reported
+	 * Returns the concurrency limit of the engine.
+	 * @return the limit last reported
 	 */
 	public int limit() {
 		return (int) this.report.get();
 	}
 
 	/**
-	 * Tells whether a further request would have to wait.
+	 * Returns whether a further request would have to wait.
 	 * @return whether the load has reached the limit
 	 */
 	public boolean full() {
@@ -131,27 +139,27 @@
 	}
 
 	/**
-	 * Learns that a model is not loaded, from the upstream's own answer. It counts for a
-	 * while only, since the model may be loaded at any time without a word.
+	 * Called when the upstream has answered that a model is not loaded. This holds for a
+	 * limited time, since the model may be loaded at any time without notice.
 	 * @param model the model
 	 * @param untilNanos the ticker's reading after which the model may be tried again
 	 */
 	public void modelMissing(String model, long untilNanos) {
-		this.lacking.put(model, untilNanos);
+		this.missingUntilNanos.put(model, untilNanos);
 	}
 
 	/**
-	 * Tells whether a model can be asked for here, as far as it is known.
-	 * @param model the model, or the empty text for a request that names none
-	 * @param now the ticker's reading
-	 * @return false while it is known to be missing
+	 * Returns whether the upstream is expected to serve a model.
+	 * @param model the model, or an empty string for a request without one
+	 * @param now the ticker's reading, in nanoseconds
+	 * @return false while the model is known to be missing
 	 */
 	public boolean serves(String model, long now) {
 		Set<String> loaded = this.models;
 		if (model.isEmpty()) {
 			return true;
 		}
-		Long until = this.lacking.isEmpty() ? null : this.lacking.get(model);
+		Long until = this.missingUntilNanos.isEmpty() ? null : this.missingUntilNanos.get(model);
 		return (until == null || now - until >= 0) && (loaded.isEmpty() || loaded.contains(model));
 	}
 
@@ -160,9 +168,9 @@
 	}
 
 	/**
-	 * Returns how busy the upstream would be with one more request. One that returns
-	 * after failures looks busier than it is.
-	 * @param share its share, above zero
+	 * Returns the relative load with one more request. The load of an upstream that is
+	 * being readmitted after failures is overstated by its reduced share.
+	 * @param share the share from the outlier detector, above zero
 	 * @return the score; the lowest is best
 	 */
 	double score(double share) {
--- a/modules/core/src/main/java/org/ragworthook/core/routing/UpstreamGroup.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/UpstreamGroup.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Upstreams among which a choice is made on equal terms, with a hash ring over them.
+ * Upstreams with equal preference, with a consistent-hash ring over them.
  */
 final class UpstreamGroup {
 
-	private static final int POINTS = 32;
+	private static final int POINTS_PER_UPSTREAM = 32;
 
 	private final Upstream[] members;
 
@@ -19,10 +19,10 @@
 
 	UpstreamGroup(List<Upstream> upstreams) {
 		this.members = upstreams.toArray(new Upstream[0]);
-		Point[] ring = new Point[this.members.length * POINTS];
+		Point[] ring = new Point[this.members.length * POINTS_PER_UPSTREAM];
 		for (int i = 0; i < ring.length; i++) {
-			Upstream owner = this.members[i / POINTS];
-			ring[i] = new Point(Hashing.mix(owner.hash(), i % POINTS), owner);
+			Upstream owner = this.members[i / POINTS_PER_UPSTREAM];
+			ring[i] = new Point(Hashing.mix(owner.hash(), i % POINTS_PER_UPSTREAM), owner);
 		}
 		Arrays.sort(ring, Comparator.comparingLong(Point::hash));
 		this.points = Arrays.stream(ring).mapToLong(Point::hash).toArray();
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * Returns where on the ring a key lies.
+	 * Returns the position of a key on the ring.
 	 * @param key the key
 	 * @return the index of the first point at or after the key
 	 */
--- a/modules/core/src/main/java/org/ragworthook/core/routing/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/routing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Chooses the upstream of a request. The choice reads an immutable table and atomic
- * counters only, so that no request waits for another one, and looks at a few upstreams
- * only, so that its time does not grow with their number.
+ * Selects the upstream for a request. Selection reads an immutable route table and atomic
+ * counters only, so requests never block each other, and examines a bounded number of
+ * upstreams, so its cost does not grow with their number.
  */
 package org.ragworthook.core.routing;
--- a/modules/core/src/test/java/org/ragworthook/core/routing/Fleet.java
+++ b/modules/core/src/test/java/org/ragworthook/core/routing/Fleet.java
@@ -9,7 +9,7 @@
 import org.ragworthook.core.fleet.Role;
 
 /**
- * Instances for tests.
+ * Creates instances and upstreams for tests.
  */
 final class Fleet {
 
--- a/modules/core/src/test/java/org/ragworthook/core/routing/RouterTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/routing/RouterTests.java
@@ -24,7 +24,7 @@
  */
 class RouterTests {
 
-	private static final RouteRequest PLAIN = RouteRequest.of("", OptionalLong.empty());
+	private static final RouteRequest ANY_MODEL = RouteRequest.of("", OptionalLong.empty());
 
 	private final ManualTime time = ManualTime.of();
 
@@ -42,7 +42,7 @@
 
 	@Test
 	void shouldChooseNothingWithoutUpstreams() {
-		assertThat(this.router.choose(PLAIN)).isEqualTo(Optional.empty());
+		assertThat(this.router.choose(ANY_MODEL)).isEqualTo(Optional.empty());
 	}
 
 	@ParameterizedTest
@@ -51,7 +51,7 @@
 		List<Upstream> upstreams = Fleet.upstreams(count, 1);
 		update(upstreams);
 		for (int i = 0; i < count * 10; i++) {
-			choose(PLAIN);
+			choose(ANY_MODEL);
 		}
 		int most = upstreams.stream().mapToInt(Upstream::outstanding).max().getAsInt();
 		int least = upstreams.stream().mapToInt(Upstream::outstanding).min().getAsInt();
@@ -59,27 +59,27 @@
 	}
 
 	@Test
-	void shouldCorrectReportedLoadByOwnCount() {
+	void shouldNotCountOwnRequestsInReportedLoad() {
 		List<Upstream> upstreams = Fleet.upstreams(2, 1);
 		update(upstreams);
 		upstreams.get(0).loadReported(9, 16);
 		for (int i = 0; i < 9; i++) {
-			assertThat(choose(PLAIN).upstream()).isEqualTo(upstreams.get(1));
+			assertThat(choose(ANY_MODEL).upstream()).isEqualTo(upstreams.get(1));
 		}
 		upstreams.get(1).loadReported(9, 16);
 		assertThat(upstreams.get(1).load()).isEqualTo(9);
 	}
 
 	@Test
-	void shouldStayInOwnDomainUntilItIsShort() {
+	void shouldStayInOwnFailureDomainUntilItIsFull() {
 		List<Upstream> upstreams = Fleet.upstreams(4, 2);
 		update(upstreams);
 		upstreams.forEach((upstream) -> upstream.loadReported(0, 3));
 		for (int i = 0; i < 6; i++) {
-			Choice choice = choose(PLAIN);
+			Choice choice = choose(ANY_MODEL);
 			assertThat(choice.upstream().instance().failureDomain()).isEqualTo(Fleet.domain(0));
 		}
-		assertThat(choose(PLAIN).reason()).isEqualTo(Choice.Reason.OTHER_DOMAIN);
+		assertThat(choose(ANY_MODEL).reason()).isEqualTo(Choice.Reason.OTHER_DOMAIN);
 	}
 
 	@Test
@@ -88,7 +88,7 @@
 		RouteRequest request = RouteRequest.of("", OptionalLong.of(42));
 		Upstream first = choose(request).upstream();
 		assertThat(first.outstanding()).isEqualTo(1);
-		Choice other = choose(PLAIN);
+		Choice other = choose(ANY_MODEL);
 		other.release(Choice.Outcome.SUCCESS);
 		for (int i = 0; i < 10; i++) {
 			Choice choice = choose(RouteRequest.of("", OptionalLong.of(1_000 + i)));
@@ -98,8 +98,9 @@
 	}
 
 	/**
-	 * All callers use one long system prompt. Without a bound its upstream would get them
-	 * all, and they would queue there while the other engines idle.
+	 * All callers share one long system prompt. Without a load bound a single upstream
+	 * would get all requests, and they would queue there while the other engines are
+	 * idle.
 	 */
 	@Test
 	void shouldBoundLoadOfPopularPrefix() {
@@ -113,58 +114,58 @@
 	}
 
 	@Test
-	void shouldMoveFewPrefixesWhenUpstreamGoes() {
+	void shouldMoveFewPrefixesWhenUpstreamIsRemoved() {
 		List<Upstream> upstreams = new ArrayList<>(Fleet.upstreams(20, 1));
-		Map<Integer, Upstream> before = places(upstreams);
+		Map<Integer, Upstream> before = upstreamByPrompt(upstreams);
 		upstreams.remove(3);
-		Map<Integer, Upstream> after = places(upstreams);
+		Map<Integer, Upstream> after = upstreamByPrompt(upstreams);
 		long moved = before.keySet().stream().filter((key) -> before.get(key) != after.get(key)).count();
 		assertThat(moved).isAtMost(1_000 * 2 / 20);
 	}
 
-	private Map<Integer, Upstream> places(List<Upstream> upstreams) {
+	private Map<Integer, Upstream> upstreamByPrompt(List<Upstream> upstreams) {
 		update(upstreams);
-		Map<Integer, Upstream> places = new HashMap<>();
+		Map<Integer, Upstream> upstreamByPrompt = new HashMap<>();
 		for (int i = 0; i < 1_000; i++) {
 			Choice choice = choose(RouteRequest.of("", OptionalLong.of(Hashing.of("prompt " + i))));
-			places.put(i, choice.upstream());
+			upstreamByPrompt.put(i, choice.upstream());
 			choice.release(Choice.Outcome.SUCCESS);
 		}
-		return places;
+		return upstreamByPrompt;
 	}
 
 	/**
-	 * An engine fails every request at once and so always looks idle. Without ejection it
-	 * would draw most requests to itself.
+	 * An upstream fails every request immediately and therefore always looks idle.
+	 * Without ejection it would attract most requests.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 4, 40 })
-	void shouldLeaveFailingUpstreamOutAndLetItBackSlowly(int count) {
+	void shouldEjectFailingUpstreamAndReadmitItGradually(int count) {
 		List<Upstream> upstreams = Fleet.upstreams(count, 1);
 		update(upstreams);
-		Upstream ill = upstreams.get(1);
+		Upstream failing = upstreams.get(1);
 		for (int i = 0; i < count * 50; i++) {
-			Choice choice = choose(PLAIN);
-			choice.release((choice.upstream() == ill) ? Choice.Outcome.FAILURE : Choice.Outcome.SUCCESS);
+			Choice choice = choose(ANY_MODEL);
+			choice.release((choice.upstream() == failing) ? Choice.Outcome.FAILURE : Choice.Outcome.SUCCESS);
 		}
-		assertThat(ill.detector().share(this.time.nanos())).isEqualTo(0.0);
+		assertThat(failing.detector().share(this.time.nanos())).isEqualTo(0.0);
 		this.time.advance(Duration.ofMillis(1_001));
-		assertThat(ill.detector().share(this.time.nanos())).isWithin(0.01).of(0.1);
+		assertThat(failing.detector().share(this.time.nanos())).isWithin(0.01).of(0.1);
 		this.time.advance(Duration.ofSeconds(5));
-		assertThat(ill.detector().share(this.time.nanos())).isEqualTo(OutlierDetector.FULL_SHARE);
+		assertThat(failing.detector().share(this.time.nanos())).isEqualTo(OutlierDetector.FULL_SHARE);
 	}
 
 	/**
-	 * Every upstream fails for a while, as when the network between them is down. If all
-	 * were left out, callers would be refused after the network is back.
+	 * All upstreams fail for a while, for example during a network outage. If all were
+	 * excluded, callers would still be refused after the network has recovered.
 	 */
 	@Test
 	void shouldStillChooseWhenAllAreEjected() {
 		update(Fleet.upstreams(5, 1));
 		for (int i = 0; i < 60; i++) {
-			choose(PLAIN).release(Choice.Outcome.FAILURE);
+			choose(ANY_MODEL).release(Choice.Outcome.FAILURE);
 		}
-		assertThat(this.router.choose(PLAIN).isPresent()).isTrue();
+		assertThat(this.router.choose(ANY_MODEL).isPresent()).isTrue();
 	}
 
 	@ParameterizedTest
@@ -177,7 +178,7 @@
 			Choice choice = choose(RouteRequest.of("", OptionalLong.of(5)).without(Set.copyOf(tried)));
 			assertThat(tried.add(choice.upstream())).isTrue();
 		}
-		assertThat(this.router.choose(PLAIN.without(tried))).isEqualTo(Optional.empty());
+		assertThat(this.router.choose(ANY_MODEL.without(tried))).isEqualTo(Optional.empty());
 	}
 
 	@Test
@@ -192,27 +193,27 @@
 	}
 
 	/**
-	 * An engine answers that it does not hold a model that the others do. Chosen again
-	 * and again, it would refuse its share of all requests.
+	 * An upstream answers that it has not loaded a model that the others have. Selected
+	 * again, it would refuse its share of all requests for the model.
 	 */
 	@Test
-	void shouldLeaveOutUpstreamThatLacksModelForAWhile() {
+	void shouldAvoidUpstreamWithMissingModelForLimitedTime() {
 		List<Upstream> upstreams = Fleet.upstreams(2, 1);
 		update(upstreams);
 		upstreams.get(0).modelMissing("large", Duration.ofSeconds(2).toNanos());
 		for (int i = 0; i < 20; i++) {
 			assertThat(choose(RouteRequest.of("large", OptionalLong.empty())).upstream()).isEqualTo(upstreams.get(1));
 		}
-		assertThat(choose(PLAIN).upstream()).isEqualTo(upstreams.get(0));
+		assertThat(choose(ANY_MODEL).upstream()).isEqualTo(upstreams.get(0));
 		this.time.advance(Duration.ofSeconds(2));
 		assertThat(choose(RouteRequest.of("large", OptionalLong.empty())).upstream()).isEqualTo(upstreams.get(0));
 	}
 
 	@Test
-	void shouldReleaseOnce() {
+	void shouldIgnoreSecondRelease() {
 		List<Upstream> upstreams = Fleet.upstreams(1, 1);
 		update(upstreams);
-		Choice choice = choose(PLAIN);
+		Choice choice = choose(ANY_MODEL);
 		choice.release(Choice.Outcome.SUCCESS);
 		choice.release(Choice.Outcome.SUCCESS);
 		assertThat(upstreams.get(0).outstanding()).isEqualTo(0);
@@ -222,7 +223,7 @@
 	void shouldKeepCountsWhenTableChanges() {
 		List<Upstream> upstreams = new ArrayList<>(Fleet.upstreams(3, 1));
 		update(upstreams);
-		Choice choice = choose(PLAIN);
+		Choice choice = choose(ANY_MODEL);
 		Collections.reverse(upstreams);
 		update(upstreams);
 		assertThat(choice.upstream().outstanding()).isEqualTo(1);
--- a/modules/core/src/test/java/org/ragworthook/core/routing/SubsetSelectorTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/routing/SubsetSelectorTests.java
@@ -29,31 +29,32 @@
 	}
 
 	/**
-	 * A failure domain is lost with all its entries. A sidecar elsewhere that only those
-	 * were linked to would idle, and one that none is linked to would never get work.
+	 * A failure domain is lost with all its entries. A sidecar that only those entries
+	 * were linked to would get no more requests, and one without any link would never get
+	 * any.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "3, 13, 3", "3, 100, 3", "40, 1375, 4", "2, 200, 4", "7, 300, 1" })
 	void shouldCoverEverySidecar(int entries, int sidecars, int domains) {
 		List<Instance> all = Fleet.instances(Role.SIDECAR, sidecars, domains);
 		Map<Instance, Set<Instance>> subsets = subsets(Fleet.instances(Role.ENTRY, entries, domains), all);
-		int wanted = Math.min(entries, 3);
+		int minLinks = Math.min(entries, 3);
 		for (Instance sidecar : all) {
-			long covering = subsets.values().stream().filter((subset) -> subset.contains(sidecar)).count();
-			assertThat(covering).isAtLeast(wanted);
+			long links = subsets.values().stream().filter((subset) -> subset.contains(sidecar)).count();
+			assertThat(links).isAtLeast(minLinks);
 			if (domains > 1 && entries >= domains) {
-				long foreign = subsets.entrySet()
+				long remote = subsets.entrySet()
 					.stream()
 					.filter((entry) -> entry.getValue().contains(sidecar)
 							&& !entry.getKey().failureDomain().equals(sidecar.failureDomain()))
 					.count();
-				assertThat(foreign).isAtLeast(1);
+				assertThat(remote).isAtLeast(1);
 			}
 		}
 	}
 
 	@Test
-	void shouldBeEvenAndSmall() {
+	void shouldSelectSmallSubsetsOfSimilarSize() {
 		Map<Instance, Set<Instance>> subsets = subsets(Fleet.instances(Role.ENTRY, 40, 4),
 				Fleet.instances(Role.SIDECAR, 1_375, 4));
 		IntSummaryStatistics sizes = subsets.values().stream().mapToInt(Set::size).summaryStatistics();
@@ -62,14 +63,14 @@
 	}
 
 	@Test
-	void shouldMoveLittleWhenAnInstanceGoes() {
+	void shouldChangeLittleWhenInstanceIsRemoved() {
 		List<Instance> entries = new ArrayList<>(Fleet.instances(Role.ENTRY, 40, 4));
 		List<Instance> sidecars = new ArrayList<>(Fleet.instances(Role.SIDECAR, 1_375, 4));
 		Instance self = entries.get(0);
 		Set<Instance> before = SubsetSelector.defaults().of(self, entries, sidecars);
-		Instance goneSidecar = sidecars.remove(8);
+		Instance removedSidecar = sidecars.remove(8);
 		Set<Instance> withoutSidecar = new HashSet<>(before);
-		withoutSidecar.remove(goneSidecar);
+		withoutSidecar.remove(removedSidecar);
 		assertThat(SubsetSelector.defaults().of(self, entries, sidecars)).isEqualTo(withoutSidecar);
 		entries.remove(4);
 		Set<Instance> withoutEntry = SubsetSelector.defaults().of(self, entries, sidecars);
@@ -78,7 +79,7 @@
 	}
 
 	@Test
-	void shouldNotDependOnOrderOfList() {
+	void shouldNotDependOnListOrder() {
 		List<Instance> entries = Fleet.instances(Role.ENTRY, 10, 2);
 		List<Instance> sidecars = new ArrayList<>(Fleet.instances(Role.SIDECAR, 100, 2));
 		Set<Instance> before = SubsetSelector.defaults().of(entries.get(3), entries, sidecars);
@@ -87,7 +88,7 @@
 	}
 
 	@Test
-	void shouldNotLeaveAnEntryWithout() {
+	void shouldGiveEveryEntryMinimumNumberOfSidecars() {
 		List<Instance> entries = Fleet.instances(Role.ENTRY, 300, 30);
 		List<Instance> sidecars = Fleet.instances(Role.SIDECAR, 40, 2);
 		subsets(entries, sidecars).values().forEach((subset) -> assertThat(subset.size()).isAtLeast(8));
