--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -366,7 +366,8 @@
 			sleep();
 		}
 		LOG.info("stopped", "instance", this.settings.instance(), "open",
-				this.frontend.map(Frontend::openRequests).orElse(0), "ms", (this.ticker.nanos() - startNanos) / 1_000_000);
+				this.frontend.map(Frontend::openRequests).orElse(0), "ms",
+				(this.ticker.nanos() - startNanos) / 1_000_000);
 	}
 
 	/**
