--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/ActiveConfiguration.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/ActiveConfiguration.java
@@ -7,18 +7,18 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * The configuration that a process goes by.
+ * Holds the configuration that a process currently applies.
  * <p>
- * The platform may show an older version after a newer one, for example when a watch
- * starts anew after its history was dropped. Taken as it comes, a request that was
- * allowed a moment ago would be refused; so only a higher version replaces the present
- * one.
+ * The platform may deliver an older version after a newer one, for example when a watch
+ * restarts after its history was dropped. Applying it would refuse requests that were
+ * allowed a moment before, so a configuration is replaced only by one with a higher
+ * version.
  */
 public final class ActiveConfiguration {
 
 	private static final EventLog LOG = EventLog.of(ActiveConfiguration.class);
 
-	private final AtomicReference<Configuration> present = new AtomicReference<>();
+	private final AtomicReference<Configuration> current = new AtomicReference<>();
 
 	private volatile Runnable listener = () -> {
 	};
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Returns a holder that knows of no version.
+	 * Returns a holder without a configuration.
 	 * @return a new holder
 	 */
 	public static ActiveConfiguration empty() {
@@ -35,35 +35,35 @@
 	}
 
 	/**
-	 * Sets what learns that another version is in force.
-	 * @param task runs on the thread that offers the version
+	 * Sets the listener for a change of the active configuration.
+	 * @param task runs on the thread that offers the new version
 	 */
 	public void onChange(Runnable task) {
 		this.listener = Objects.requireNonNull(task, "task is null");
 	}
 
 	/**
-	 * Returns what is in force.
-	 * @return the newest version seen, or empty if none was
+	 * Returns the active configuration.
+	 * @return the newest configuration offered so far, or empty if there was none
 	 */
 	public Optional<Configuration> current() {
-		return Optional.ofNullable(this.present.get());
+		return Optional.ofNullable(this.current.get());
 	}
 
 	/**
-	 * Takes a version that the platform showed.
-	 * @param offered the version
-	 * @return whether it is in force now
+	 * Activates a configuration if its version is higher than that of the active one.
+	 * @param offered the configuration
+	 * @return whether it was activated
 	 */
 	public boolean offer(Configuration offered) {
 		while (true) {
-			Configuration before = this.present.get();
-			if (before != null && before.version() >= offered.version()) {
+			Configuration previous = this.current.get();
+			if (previous != null && previous.version() >= offered.version()) {
 				return false;
 			}
-			if (this.present.compareAndSet(before, offered)) {
+			if (this.current.compareAndSet(previous, offered)) {
 				LOG.info("configuration_in_force", "version", offered.version(), "before",
-						(before != null) ? before.version() : 0);
+						(previous != null) ? previous.version() : 0);
 				this.listener.run();
 				return true;
 			}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/Configuration.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/Configuration.java
@@ -12,8 +12,8 @@
 import org.ragworthook.gateway.account.Accounts;
 
 /**
- * One version of what the operator configured. Immutable; requests read it without a
- * lock.
+ * One version of the operator's configuration. Immutable, so requests read it without
+ * locking.
  */
 public final class Configuration {
 
@@ -40,12 +40,12 @@
 
 	/**
 	 * Returns a configuration.
-	 * @param version its version; greater is newer
-	 * @param routes its routes
-	 * @param services what is stated of services, by name
-	 * @param limits what callers may send
+	 * @param version the version; a greater one is newer
+	 * @param routes the routes
+	 * @param services the capacities of services, by name
+	 * @param limits the limits on callers' requests
 	 * @param accounts the client accounts
-	 * @return the configuration
+	 * @return a new configuration
 	 */
 	public static Configuration of(long version, List<Route> routes, Map<String, ServiceCapacity> services,
 			CallerLimits limits, Accounts accounts) {
@@ -55,14 +55,14 @@
 
 	/**
 	 * Returns the version.
-	 * @return greater is newer
+	 * @return the version; a greater one is newer
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * Returns what callers may send.
+	 * Returns the limits on callers' requests.
 	 * @return the limits
 	 */
 	public CallerLimits limits() {
@@ -71,25 +71,26 @@
 
 	/**
 	 * Returns the client accounts.
-	 * @return the accounts with their keys
+	 * @return the accounts and their keys
 	 */
 	public Accounts accounts() {
 		return this.accounts;
 	}
 
 	/**
-	 * Returns what is stated of a service.
+	 * Returns the configured capacity of a service.
 	 * @param name the service
-	 * @return the statement, or empty if the configuration has none
+	 * @return the capacity, or empty if none is configured
 	 */
 	public Optional<ServiceCapacity> service(String name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
 	/**
-	 * Tells whether jobs may be submitted to a host, and called for, without a key.
-	 * @param host the host that the request names, with or without a port
-	 * @return whether one of its routes for jobs allows it
+	 * Returns whether batch jobs may be submitted to a host, and read from it, without a
+	 * key.
+	 * @param host the host of the request, with or without a port
+	 * @return whether one of the host's batch routes allows it
 	 */
 	public boolean allowsAnonymousJobs(String host) {
 		return this.routesByHost.getOrDefault(hostName(host), List.of())
@@ -98,19 +99,19 @@
 	}
 
 	private static String hostName(String host) {
-		int port = host.lastIndexOf(':');
-		return ((port >= 0) ? host.substring(0, port) : host).toLowerCase(Locale.ROOT);
+		int portIndex = host.lastIndexOf(':');
+		return ((portIndex >= 0) ? host.substring(0, portIndex) : host).toLowerCase(Locale.ROOT);
 	}
 
 	/**
-	 * Finds the route with the longest matching prefix.
-	 * @param host the host that the request names, with or without a port
+	 * Returns the route with the longest matching path prefix.
+	 * @param host the host of the request, with or without a port
 	 * @param uri the path, with or without a query
 	 * @return the route, or empty if none matches
 	 */
 	public Optional<Route> route(String host, String uri) {
-		int query = uri.indexOf('?');
-		String path = (query >= 0) ? uri.substring(0, query) : uri;
+		int queryIndex = uri.indexOf('?');
+		String path = (queryIndex >= 0) ? uri.substring(0, queryIndex) : uri;
 		for (Route route : this.routesByHost.getOrDefault(hostName(host), List.of())) {
 			if (path.startsWith(route.pathPrefix())) {
 				return Optional.of(route);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/Route.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/Route.java
@@ -6,21 +6,24 @@
 import java.util.Optional;
 
 /**
- * Where the requests of a host and path go, and what may be done with them.
+ * A route: the requests that it matches by host and path prefix, the services that they
+ * are sent to, and how they may be run.
  *
- * @param name the operator's name for it
- * @param host the host that requests name, without a port, in lower case
- * @param pathPrefix how their paths begin; starts and ends with a slash
- * @param kind what may be done with them
- * @param timeout how long a caller may be kept waiting
- * @param latencyTarget how soon the answer, or its first event, is to be there
- * @param services the services that run them; not empty
- * @param maxAttempts to how many upstreams one request may be sent; at least one
- * @param resumable whether an upstream can go on where another one stopped
- * @param completionTarget for batch jobs: how soon all results are to be there
- * @param retention for batch jobs: when an item may be given up
- * @param maxQueuedTokens for batch jobs: how many tokens of unfinished items one client
- * account may have waiting, or 0 for any number
+ * @param name the route's name in the configuration
+ * @param host the host of its requests, without a port, in lower case
+ * @param pathPrefix the prefix of their paths; starts and ends with a slash
+ * @param kind how its requests may be run
+ * @param timeout maximum time that a caller waits for an answer
+ * @param latencyTarget target for the time to the answer or its first event
+ * @param services the services that run its requests; not empty
+ * @param maxAttempts maximum number of upstreams to which one request is sent; at least 1
+ * @param resumable whether an upstream can resume a stream that another one began
+ * @param completionTarget for batch jobs, the target for the time until all results are
+ * ready
+ * @param retention for batch jobs, the time after which an unfinished item may be given
+ * up
+ * @param maxQueuedTokens for batch jobs, the maximum number of tokens in the unfinished
+ * items of one client account, or 0 for no limit
  * @param allowAnonymous whether callers need no key
  */
 public record Route(String name, String host, String pathPrefix, RouteKind kind, Duration timeout,
@@ -28,7 +31,7 @@
 		Duration completionTarget, Duration retention, long maxQueuedTokens, boolean allowAnonymous) {
 
 	/**
-	 * Checks the values.
+	 * Checks the components.
 	 * @throws IllegalArgumentException if a value is out of range
 	 */
 	public Route {
@@ -45,44 +48,48 @@
 			throw new IllegalArgumentException("route " + name + " has no service");
 		}
 		if (maxQueuedTokens < 0) {
-			throw new IllegalArgumentException("route " + name + " lets " + maxQueuedTokens + " tokens wait");
+			throw new IllegalArgumentException(
+					"route " + name + " has a negative limit of " + maxQueuedTokens + " queued tokens");
 		}
 		if (maxAttempts < 1) {
-			throw new IllegalArgumentException("route " + name + " allows no attempt");
+			throw new IllegalArgumentException(
+					"route " + name + " allows " + maxAttempts + " attempts, must allow at least 1");
 		}
 	}
 
 	/**
-	 * Returns the number by which processes name the waiting items of an account on this
-	 * route to each other.
-	 * @param account the account's name, or empty for callers without one
-	 * @return a hash that is the same in every process, whatever the route's name
+	 * Returns the number that identifies an account's unfinished items on this route in
+	 * messages between processes.
+	 * @param account the account's name, or empty for callers without an account
+	 * @return a hash of host, path prefix and account, the same in every process and
+	 * independent of the route's name
 	 */
 	public int backlogKey(Optional<String> account) {
 		return (this.host + this.pathPrefix + account.orElse("")).hashCode();
 	}
 
 	/**
-	 * Tells whether a host and path begin as the route's do.
-	 * @param otherHost the host
-	 * @param path the path
-	 * @return whether they do; a route with a longer prefix may be nearer all the same
+	 * Returns whether a request matches the route's host and path prefix.
+	 * @param requestHost the host of the request
+	 * @param path the path of the request
+	 * @return whether it matches; a route with a longer prefix may still take precedence
 	 */
-	public boolean matches(String otherHost, String path) {
-		return this.host.equals(otherHost) && path.startsWith(this.pathPrefix);
+	public boolean matches(String requestHost, String path) {
+		return this.host.equals(requestHost) && path.startsWith(this.pathPrefix);
 	}
 
 	/**
-	 * Tells whether a request may be sent to another upstream after one may have run it.
-	 * @return whether running it again does no harm
+	 * Returns whether a request may be sent to another upstream after one may have run
+	 * it.
+	 * @return whether running it again is harmless
 	 */
 	public boolean retryable() {
 		return this.kind == RouteKind.IDEMPOTENT || (this.kind == RouteKind.STREAM && this.resumable);
 	}
 
 	/**
-	 * Chooses a service by the weights.
-	 * @param draw a number from 0 to below 1
+	 * Picks a service according to the weights.
+	 * @param draw a random number from 0 (inclusive) to 1 (exclusive)
 	 * @return the name of the service
 	 */
 	public String pickService(double draw) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/RouteKind.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/RouteKind.java
@@ -1,20 +1,18 @@
 package org.ragworthook.gateway.route;
 
-/**
- * What may be done with the requests of a route.
- */
+/** How the requests of a route may be run. */
 public enum RouteKind {
 
-	/** May be run any number of times. */
+	/** Requests may be run any number of times. */
 	IDEMPOTENT,
 
-	/** May be run once at most. */
+	/** Requests must be run at most once. */
 	AT_MOST_ONCE,
 
-	/** Answered by a series of events. */
+	/** Requests are answered by a stream of events. */
 	STREAM,
 
-	/** Takes batch jobs, which are run later. */
+	/** Requests submit batch jobs, whose items are run later. */
 	BATCH
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/ServiceCapacity.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/ServiceCapacity.java
@@ -3,17 +3,15 @@
 import java.util.Objects;
 
 /**
- * What the operator states of the upstreams of a service.
+ * The configured capacity of each upstream of a service.
  *
  * @param name the service
- * @param maxConnections how many connections an upstream takes from all callers together
- * @param slots how many requests an upstream runs at once
+ * @param maxConnections maximum number of connections to an upstream, over all callers
+ * @param slots number of requests that an upstream runs concurrently
  */
 public record ServiceCapacity(String name, int maxConnections, int slots) {
 
-	/**
-	 * Checks the values.
-	 */
+	/** Checks the components. */
 	public ServiceCapacity {
 		Objects.requireNonNull(name, "name is null");
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Routes, services and limits as the operator set them, and which version is in force.
+ * The operator's configuration of routes, services, limits and accounts, and which
+ * version of it is active.
  */
 package org.ragworthook.gateway.route;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/suspect/PoisonRequestDetector.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/suspect/PoisonRequestDetector.java
@@ -11,24 +11,31 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Counts how often upstreams broke off while they ran a request.
+ * Detects poison requests, which crash every upstream that runs them, by counting how
+ * often an upstream lost its connection while it ran a request.
  * <p>
- * A request can crash every upstream that runs it, and its caller sends it again, to any
- * entry; one notices by one upstream after another going down. Its path and body are the
- * same each time. Whoever was beside it when an upstream crashed has broken off as well,
- * but hardly ever three times, so three breaks refuse a request. Each process counts its
- * own and is told those of its peers. Used on the event loop.
+ * The caller of a poison request retries it at any entry, so one upstream after another
+ * crashes. Its path and body are the same each time, so it is recognised by a
+ * fingerprint. Requests that run on the same upstream when it crashes lose their
+ * connection as well, but hardly ever three times, so a request is refused after three
+ * losses. Each process counts its own losses and receives the counts of its peers. Not
+ * thread-safe: used on the event loop.
  */
 public final class PoisonRequestDetector {
 
-	/** Breaks, over all processes, after which a request is refused. */
-	private static final int REFUSED_AT = 3;
+	/** Connection losses, over all processes, after which a request is refused. */
+	private static final int REFUSAL_THRESHOLD = 3;
 
-	/** How long a break counts: many times what callers wait between two tries. */
-	private static final Duration MEMORY = Duration.ofSeconds(120);
+	/**
+	 * How long a connection loss counts: many times the usual pause between a caller's
+	 * retries.
+	 */
+	private static final Duration RETENTION = Duration.ofSeconds(120);
 
-	/** Suspects that are remembered; the oldest is forgotten first. */
-	private static final int CAPACITY = 1_000;
+	/**
+	 * Maximum number of fingerprints; the least recently counted one is evicted first.
+	 */
+	private static final int MAX_FINGERPRINTS = 1_000;
 
 	private static final EventLog LOG = EventLog.of(PoisonRequestDetector.class);
 
@@ -38,26 +45,26 @@
 
 	private final Ticker ticker;
 
-	private final Map<Long, Breaks> own = new LinkedHashMap<>();
+	private final Map<Long, ConnectionLosses> ownLosses = new LinkedHashMap<>();
 
-	private Map<Long, Integer> peers = Map.of();
+	private Map<Long, Integer> peerCounts = Map.of();
 
 	private PoisonRequestDetector(Ticker ticker) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
 	}
 
 	/**
-	 * Returns a count of nothing.
-	 * @param ticker the time
-	 * @return a new count
+	 * Returns a detector without counts.
+	 * @param ticker the monotonic clock
+	 * @return a new detector
 	 */
 	public static PoisonRequestDetector empty(Ticker ticker) {
 		return new PoisonRequestDetector(ticker);
 	}
 
 	/**
-	 * Returns the number by which a request is recognised.
-	 * @param host the host that it names
+	 * Returns the fingerprint by which a request is recognised.
+	 * @param host the host of the request
 	 * @param uri its path with the query
 	 * @param body its body
 	 * @return a hash that is the same in every process
@@ -77,55 +84,57 @@
 	}
 
 	/**
-	 * Learns that an upstream broke off while it had a request.
-	 * @param fingerprint the request
+	 * Called when an upstream lost its connection while it ran a request.
+	 * @param fingerprint the request's fingerprint
 	 */
 	public void recordConnectionLoss(long fingerprint) {
 		long now = this.ticker.nanos();
-		Breaks before = this.own.remove(fingerprint);
-		int count = 1 + ((before != null && now - before.untilNanos() < 0) ? before.count() : 0);
-		this.own.put(fingerprint, new Breaks(count, now + MEMORY.toNanos()));
-		if (this.own.size() > CAPACITY) {
-			this.own.remove(this.own.keySet().iterator().next());
+		ConnectionLosses previous = this.ownLosses.remove(fingerprint);
+		int count = 1 + ((previous != null && now - previous.expiryNanos() < 0) ? previous.count() : 0);
+		this.ownLosses.put(fingerprint, new ConnectionLosses(count, now + RETENTION.toNanos()));
+		if (this.ownLosses.size() > MAX_FINGERPRINTS) {
+			this.ownLosses.remove(this.ownLosses.keySet().iterator().next());
 		}
-		if (count + this.peers.getOrDefault(fingerprint, 0) >= REFUSED_AT) {
-			LOG.warning("request_convicted", "fingerprint", Long.toHexString(fingerprint), "own_breaks", count,
-					"peers_breaks", this.peers.getOrDefault(fingerprint, 0));
+		if (count + this.peerCounts.getOrDefault(fingerprint, 0) >= REFUSAL_THRESHOLD) {
+			LOG.warning("poison_request_detected", "fingerprint", Long.toHexString(fingerprint),
+					"own_connection_losses", count, "peer_connection_losses",
+					this.peerCounts.getOrDefault(fingerprint, 0));
 		}
 	}
 
 	/**
-	 * Takes what the peers have counted.
-	 * @param counts breaks by fingerprint, summed over the peers
+	 * Replaces the counts of the peers.
+	 * @param counts connection losses by fingerprint, summed over the peers
 	 */
 	public void updatePeerCounts(Map<Long, Integer> counts) {
-		this.peers = Map.copyOf(counts);
+		this.peerCounts = Map.copyOf(counts);
 	}
 
 	/**
-	 * Returns what this process has counted.
-	 * @return breaks by fingerprint, of those that still count
+	 * Returns the counts of this process, to be reported to the peers.
+	 * @return connection losses by fingerprint, without expired ones
 	 */
 	public Map<Long, Integer> ownCounts() {
 		long now = this.ticker.nanos();
-		this.own.values().removeIf((breaks) -> now - breaks.untilNanos() >= 0);
+		this.ownLosses.values().removeIf((losses) -> now - losses.expiryNanos() >= 0);
 		Map<Long, Integer> counts = new HashMap<>();
-		this.own.forEach((fingerprint, breaks) -> counts.put(fingerprint, breaks.count()));
+		this.ownLosses.forEach((fingerprint, losses) -> counts.put(fingerprint, losses.count()));
 		return counts;
 	}
 
 	/**
-	 * Tells whether a request is not to be run any more.
-	 * @param fingerprint the request
-	 * @return whether upstreams broke off three times while they had it
+	 * Returns whether a request must not be run any more.
+	 * @param fingerprint the request's fingerprint
+	 * @return whether upstreams lost their connection at least three times while they ran
+	 * it
 	 */
 	public boolean refused(long fingerprint) {
-		Breaks breaks = this.own.get(fingerprint);
-		int count = (breaks != null && this.ticker.nanos() - breaks.untilNanos() < 0) ? breaks.count() : 0;
-		return count + this.peers.getOrDefault(fingerprint, 0) >= REFUSED_AT;
+		ConnectionLosses losses = this.ownLosses.get(fingerprint);
+		int count = (losses != null && this.ticker.nanos() - losses.expiryNanos() < 0) ? losses.count() : 0;
+		return count + this.peerCounts.getOrDefault(fingerprint, 0) >= REFUSAL_THRESHOLD;
 	}
 
-	private record Breaks(int count, long untilNanos) {
+	private record ConnectionLosses(int count, long expiryNanos) {
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/suspect/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/suspect/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Requests that make upstreams crash, recognised when they come again.
+ * Detection of poison requests: requests that crash the upstreams that run them are
+ * recognised and refused when they are sent again.
  */
 package org.ragworthook.gateway.suspect;
