--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
@@ -125,9 +125,9 @@
 		this.lastQueryNanos.put(name, this.ticker.nanos());
 		SlotAsk.Builder ask = SlotAsk.newBuilder();
 		query.prefixAffinity()
-			.parts()
-			.forEach((part) -> ask
-				.addPrompt(SharedPart.newBuilder().setHash(part.prefixHash()).setTokens(part.tokens())));
+			.segments()
+			.forEach((segment) -> ask
+				.addPrompt(SharedPart.newBuilder().setHash(segment.prefixHash()).setTokens(segment.tokens())));
 		scheduleReport(name).addAsks(ask.setNumber(query.number())
 			.setRequest(query.requestId())
 			.setService(query.service())
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/Dispatcher.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/Dispatcher.java
@@ -18,9 +18,9 @@
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
 /**
- * Assigns the slots of upstreams to the online requests of all entries. It knows the
- * loads from the reports of the entries, which they send at each change. Not thread-safe:
- * used on the event loop.
+ * Assigns the slots of upstreams to the online requests of all entries. The loads are
+ * taken from the reports that the entries send at each change. Not thread-safe: used on
+ * the event loop.
  * <p>
  * Serves bursts that need nearly all slots. In a simulation of 28 entries and 42
  * upstreams of 7 slots, with bursts of 2.4 s at 90 % of the capacity and more, 78 of
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/PeerLoad.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/PeerLoad.java
@@ -1,21 +1,21 @@
 package org.ragworthook.gateway.upstream;
 
 /**
- * What the peers have at an upstream.
+ * The load of the peers at an upstream.
  *
- * @param online requests that callers wait for
- * @param batch items of batch jobs
- * @param yieldingFirst the part of {@code batch} that yields before any item of this
+ * @param online number of online requests
+ * @param batch number of batch items
+ * @param yieldingFirst how many of the batch items are preempted before any item of this
  * process
  */
 public record PeerLoad(int online, int batch, int yieldingFirst) {
 
-	/** Nothing. */
+	/** No load. */
 	public static final PeerLoad NONE = new PeerLoad(0, 0, 0);
 
 	/**
-	 * Adds what another peer has.
-	 * @param other the other's
+	 * Returns the sum of two loads.
+	 * @param other the load to add
 	 * @return the sum
 	 */
 	public PeerLoad plus(PeerLoad other) {
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Takes away what another peer had.
-	 * @param other the other's
+	 * Returns the difference of two loads.
+	 * @param other the load to subtract
 	 * @return the difference
 	 */
 	public PeerLoad minus(PeerLoad other) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/Placement.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/Placement.java
@@ -11,32 +11,38 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Chooses the upstream for a request: the one with the least load, counted over all
- * processes; among equals one of the own failure domain, then one at random.
+ * Chooses the upstream for a request: the one with the least load over all processes;
+ * among equals one in the own failure domain, then one at random.
  * <p>
- * Engines admit in order of arrival, so a request that is sent to a full one waits there
- * behind others although a slot may be free elsewhere. Counting only what one process
- * sent itself, four entries left the busiest engine at 1.7 times the mean.
+ * Upstreams run requests in order of arrival, so a request that is sent to a full one
+ * queues there although a slot may be free elsewhere. Counting only the requests of one
+ * process is not enough: with four entries, the busiest upstream then had 1.7 times the
+ * mean load.
  * <p>
- * What the others have there is known up to a tenth of a second late. Where many entries
- * all choose the least load that they know, they choose the same engine until they hear
- * of each other. So the choice is spread: the requests that the others are likely to have
- * placed since they were heard are poured over the engines, lowest first, and each engine
- * is chosen as often as it takes of them. With one entry, or hardly any requests, that is
- * the least load again. Played with 17 entries and a quarter of the slots free, 87 of
- * 1,000 requests waited too long at an engine without this and 17 with it.
+ * The load of other processes is known up to 0.1 s late. If many entries all chose the
+ * least loaded upstream, they would choose the same one until they receive each other's
+ * reports. The choice is therefore randomised: the requests that the other entries have
+ * probably placed since their reports are distributed over the upstreams, lowest load
+ * first, as if water were poured over them, and each upstream is chosen with a
+ * probability proportional to what it receives. With a single entry, or few requests,
+ * this is the least loaded upstream again. In a simulation of 17 entries with a quarter
+ * of the slots free, 87 of 1,000 requests queued for too long without randomisation and
+ * 17 with it.
  */
 public final class Placement {
 
-	/** A whole request of difference in load outweighs the failure domain. */
+	/** Cost of one request; a difference of one request outweighs the failure domain. */
 	private static final int REQUEST_COST = 4;
 
-	private static final int OTHER_DOMAIN_COST = 3;
+	private static final int OTHER_DOMAIN_PENALTY = 3;
 
-	private static final int AVOIDED_COST = 1_000;
+	private static final int AVOIDED_PENALTY = 1_000;
 
-	/** Less than any difference in cost, so that only the least is chosen. */
-	private static final double LEAST_AMOUNT = 0.01;
+	/**
+	 * Less than any difference in cost, so that only the least loaded upstreams are
+	 * filled.
+	 */
+	private static final double MIN_FILL_COST = 0.01;
 
 	private final String failureDomain;
 
@@ -53,9 +59,9 @@
 	/**
 	 * Returns a placement.
 	 * @param failureDomain the failure domain of this process
-	 * @param ticker the time
-	 * @param random breaks ties
-	 * @return the placement
+	 * @param ticker the monotonic clock
+	 * @param random makes the random choice among upstreams
+	 * @return a new placement
 	 */
 	public static Placement of(String failureDomain, Ticker ticker, RandomGenerator random) {
 		return new Placement(failureDomain, ticker, random);
@@ -64,45 +70,47 @@
 	/**
 	 * Chooses the upstream with the least load.
 	 * @param candidates the upstreams of the service
-	 * @param except upstreams that are not to be chosen
-	 * @param room which upstreams have room for the request
-	 * @return the choice, or empty if none has room
+	 * @param excluded upstreams that must not be chosen
+	 * @param capacityCheck accepts the upstreams that have capacity for the request
+	 * @return the choice, or empty if no upstream has capacity
 	 */
-	public Optional<TrackedUpstream> choose(List<TrackedUpstream> candidates, Collection<TrackedUpstream> except,
-			CapacityCheck room) {
-		return choose(candidates, except, room, PrefixAffinity.none(), 0);
+	public Optional<TrackedUpstream> choose(List<TrackedUpstream> candidates, Collection<TrackedUpstream> excluded,
+			CapacityCheck capacityCheck) {
+		return choose(candidates, excluded, capacityCheck, PrefixAffinity.none(), 0);
 	}
 
 	/**
-	 * Chooses an upstream.
+	 * Chooses an upstream by load and prefix affinity.
 	 * @param candidates the upstreams of the service
-	 * @param except upstreams that are not to be chosen
-	 * @param room which upstreams have room for the request
-	 * @param prompt where the parts of its prompt are kept
-	 * @param unreported requests that other processes are likely to have placed since
-	 * they were heard, at least 0
-	 * @return the choice, or empty if none has room
+	 * @param excluded upstreams that must not be chosen
+	 * @param capacityCheck accepts the upstreams that have capacity for the request
+	 * @param prefixAffinity the upstreams that are likely to have the prompt's prefix
+	 * cached
+	 * @param unreported estimated number of requests that other processes have placed
+	 * since their reports, at least 0
+	 * @return the choice, or empty if no upstream has capacity
 	 */
-	public Optional<TrackedUpstream> choose(List<TrackedUpstream> candidates, Collection<TrackedUpstream> except,
-			CapacityCheck room, PrefixAffinity prompt, double unreported) {
+	public Optional<TrackedUpstream> choose(List<TrackedUpstream> candidates, Collection<TrackedUpstream> excluded,
+			CapacityCheck capacityCheck, PrefixAffinity prefixAffinity, double unreported) {
 		long now = this.ticker.nanos();
-		Map<TrackedUpstream, Integer> kept = prompt.weights(candidates);
+		Map<TrackedUpstream, Integer> affinityWeights = prefixAffinity.weights(candidates);
 		List<Choice> choices = new ArrayList<>();
 		for (TrackedUpstream candidate : candidates) {
-			if (room.hasCapacity(candidate) && !except.contains(candidate)) {
-				choices.add(new Choice(candidate, cost(candidate, now) - weight(candidate, kept)));
+			if (capacityCheck.hasCapacity(candidate) && !excluded.contains(candidate)) {
+				choices.add(new Choice(candidate, cost(candidate, now) - affinityWeight(candidate, affinityWeights)));
 			}
 		}
 		if (choices.isEmpty()) {
 			return Optional.empty();
 		}
-		double level = level(choices, unreported * REQUEST_COST);
-		double draw = this.random.nextDouble() * choices.stream().mapToDouble((choice) -> choice.below(level)).sum();
+		double fillLevel = fillLevel(choices, unreported * REQUEST_COST);
+		double draw = this.random.nextDouble()
+				* choices.stream().mapToDouble((choice) -> choice.headroom(fillLevel)).sum();
 		Choice chosen = choices.get(0);
 		for (Choice choice : choices) {
-			if (choice.below(level) > 0) {
+			if (choice.headroom(fillLevel) > 0) {
 				chosen = choice;
-				draw -= choice.below(level);
+				draw -= choice.headroom(fillLevel);
 				if (draw < 0) {
 					break;
 				}
@@ -112,33 +120,35 @@
 	}
 
 	/**
-	 * Returns up to which cost the upstreams are filled by requests that are poured over
-	 * them.
+	 * Returns the level to which upstreams are filled when additional requests are
+	 * distributed over them, lowest cost first.
 	 * @param choices the upstreams
-	 * @param amount the cost of the requests
-	 * @return the level, above the least cost
+	 * @param addedCost the cost of the additional requests
+	 * @return the level, above the lowest cost
 	 */
-	private static double level(List<Choice> choices, double amount) {
+	private static double fillLevel(List<Choice> choices, double addedCost) {
 		int[] costs = choices.stream().mapToInt(Choice::cost).sorted().toArray();
-		double left = Math.max(amount, LEAST_AMOUNT);
-		int filled = 1;
-		while (filled < costs.length && left > (double) filled * (costs[filled] - costs[filled - 1])) {
-			left -= (double) filled * (costs[filled] - costs[filled - 1]);
-			filled++;
+		double remaining = Math.max(addedCost, MIN_FILL_COST);
+		int filledCount = 1;
+		while (filledCount < costs.length
+				&& remaining > (double) filledCount * (costs[filledCount] - costs[filledCount - 1])) {
+			remaining -= (double) filledCount * (costs[filledCount] - costs[filledCount - 1]);
+			filledCount++;
 		}
-		return costs[filled - 1] + left / filled;
+		return costs[filledCount - 1] + remaining / filledCount;
 	}
 
 	/**
-	 * Returns what speaks for an upstream because it keeps parts of the prompt. That
-	 * counts only while it has a slot free, or one that a batch item leaves: to wait for
-	 * the end of another request takes longer than to read the parts elsewhere.
+	 * Returns by how much an upstream is preferred for having the prompt's prefix cached.
+	 * Applies only while the upstream has a free slot, or one that a batch item yields:
+	 * to wait for another request to end takes longer than to recompute the prefix
+	 * elsewhere.
 	 * @param candidate the upstream
-	 * @param kept the weight of those that keep parts
-	 * @return the weight
+	 * @param affinityWeights the weights of the upstreams with affinity
+	 * @return the weight, which reduces the cost
 	 */
-	private static int weight(TrackedUpstream candidate, Map<TrackedUpstream, Integer> kept) {
-		return SlotSharing.hasFreeOnlineSlot(candidate) ? kept.getOrDefault(candidate, 0) : 0;
+	private static int affinityWeight(TrackedUpstream candidate, Map<TrackedUpstream, Integer> affinityWeights) {
+		return SlotSharing.hasFreeOnlineSlot(candidate) ? affinityWeights.getOrDefault(candidate, 0) : 0;
 	}
 
 	private int cost(TrackedUpstream candidate, long now) {
@@ -146,35 +156,33 @@
 		int load = candidate.load();
 		int cost = REQUEST_COST * ((load < slots) ? load : Math.max(slots, candidate.onlineLoad() + slots / 2));
 		if (!candidate.descriptor().failureDomain().equals(this.failureDomain)) {
-			cost += OTHER_DOMAIN_COST;
+			cost += OTHER_DOMAIN_PENALTY;
 		}
-		return candidate.avoided(now) ? cost + AVOIDED_COST : cost;
+		return candidate.avoided(now) ? cost + AVOIDED_PENALTY : cost;
 	}
 
 	/**
 	 * An upstream that can be chosen.
 	 *
 	 * @param upstream the upstream
-	 * @param cost what speaks against it
+	 * @param cost its cost; the lowest is preferred
 	 */
 	private record Choice(TrackedUpstream upstream, int cost) {
 
-		double below(double level) {
-			return Math.max(0, level - this.cost);
+		double headroom(double fillLevel) {
+			return Math.max(0, fillLevel - this.cost);
 		}
 
 	}
 
-	/**
-	 * Tells which upstreams have room.
-	 */
+	/** Decides which upstreams have capacity for a request. */
 	@FunctionalInterface
 	public interface CapacityCheck {
 
 		/**
-		 * Tells whether an upstream has room for one more request.
+		 * Returns whether an upstream has capacity for one more request.
 		 * @param upstream the upstream
-		 * @return whether it has
+		 * @return whether it has capacity
 		 */
 		boolean hasCapacity(TrackedUpstream upstream);
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/PrefixAffinity.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/PrefixAffinity.java
@@ -8,103 +8,110 @@
 import java.util.Map;
 
 /**
- * Where prompts that share long parts are sent, so that an engine which has read a part
- * keeps it and need not read it again.
+ * Routes prompts that share long prefixes to the same upstreams, so that an upstream can
+ * reuse its prefix cache instead of computing the prefix again.
  * <p>
- * Each part has homes among the upstreams, by rendezvous hashing: all entries name the
- * same ones without a word, and when an upstream comes or goes only its own parts move.
- * The first home is to take the prompts that begin with the part, the next ones what it
- * has no slot for. Spread over all engines instead, parts push each other out of their
- * memories: played with 75 parts of 13,300 tokens before 20 engines that have memory for
- * 8, half of their slots taken, 88 of 100 shared parts were read again, and 3 with this
- * ({@code PromptHomesPlayTests}).
+ * Each long segment of a prompt has preferred upstreams, determined by rendezvous hashing
+ * of the prefix that ends with it: all entries agree on them without communication, and
+ * when an upstream joins or leaves, only its own segments move. The first preferred
+ * upstream takes the prompts with that prefix, the next ones what it has no slot for.
+ * Spread over all upstreams instead, prefixes evict each other from the caches: in a
+ * simulation of 75 segments of 13,300 tokens and 20 upstreams whose cache holds 8, with
+ * half of the slots in use, 88 % of the shared segments were recomputed, and 3 % with
+ * affinity ({@code PrefixAffinitySimulationTests}).
  *
- * @param parts the parts of a prompt that are long enough to decide
+ * @param segments the segments of a prompt that are long enough to affect placement
  */
-public record PrefixAffinity(List<Segment> parts) {
+public record PrefixAffinity(List<Segment> segments) {
 
 	/**
-	 * The shortest part that decides where a prompt goes. An engine reads it in about the
-	 * time in which it lets its callers wait for an event, so it weighs as much as one
-	 * more running request there.
+	 * Minimum length of a segment that affects placement. An upstream computes so many
+	 * tokens in about the time between two events of a stream, so the segment weighs as
+	 * much as one more running request.
 	 */
-	static final int LEAST_TOKENS = 1_600;
+	static final int MIN_TOKENS = 1_600;
 
 	/** Tokens that weigh as much as a quarter of a running request. */
-	private static final int TOKENS_PER_COST = LEAST_TOKENS / 4;
+	private static final int TOKENS_PER_COST = MIN_TOKENS / 4;
 
-	/** What all parts of a prompt may weigh: more than an engine full of requests. */
-	static final int MOST = 60;
+	/**
+	 * Maximum weight of all segments of a prompt: more than the cost of a full upstream.
+	 */
+	static final int MAX_WEIGHT = 60;
 
-	/** How many homes a part has, the later ones for when the earlier ones are full. */
-	private static final int HOMES = 4;
+	/**
+	 * Number of preferred upstreams of a segment; later ones are used when earlier ones
+	 * are full.
+	 */
+	private static final int PREFERRED_COUNT = 4;
 
 	private static final PrefixAffinity NONE = new PrefixAffinity(List.of());
 
-	/**
-	 * Keeps the parts.
-	 */
+	/** Copies the segments. */
 	public PrefixAffinity {
-		parts = List.copyOf(parts);
+		segments = List.copyOf(segments);
 	}
 
 	/**
-	 * Returns the homes of a prompt of which nothing is known.
-	 * @return homes that weigh nothing
+	 * Returns no affinity, for a prompt whose segments are unknown.
+	 * @return an affinity without weights
 	 */
 	public static PrefixAffinity none() {
 		return NONE;
 	}
 
 	/**
-	 * Returns the homes of a prompt.
-	 * @param prompt its parts in order; a part is kept along with all before it
-	 * @return the homes
+	 * Returns the affinity of a prompt.
+	 * @param segments the segments of the prompt in order; a segment is cached together
+	 * with all segments before it
+	 * @return the affinity
 	 */
-	public static PrefixAffinity of(List<PromptSegment> prompt) {
-		List<Segment> parts = new ArrayList<>();
-		int hash = 0;
-		for (PromptSegment part : prompt) {
-			hash = 31 * hash + part.id().hashCode();
-			if (part.tokens() >= LEAST_TOKENS) {
-				parts.add(new Segment(hash, part.tokens()));
+	public static PrefixAffinity of(List<PromptSegment> segments) {
+		List<Segment> longSegments = new ArrayList<>();
+		int prefixHash = 0;
+		for (PromptSegment segment : segments) {
+			prefixHash = 31 * prefixHash + segment.id().hashCode();
+			if (segment.tokens() >= MIN_TOKENS) {
+				longSegments.add(new Segment(prefixHash, segment.tokens()));
 			}
 		}
-		return parts.isEmpty() ? NONE : new PrefixAffinity(parts);
+		return longSegments.isEmpty() ? NONE : new PrefixAffinity(longSegments);
 	}
 
 	/**
-	 * Returns what speaks for upstreams because they keep parts of the prompt.
-	 * @param serving all upstreams of the service, with or without room, so that the
-	 * homes stay the same while some are full
-	 * @return the weight of those that are homes
+	 * Returns by how much upstreams are preferred for having segments of the prompt
+	 * cached.
+	 * @param serving all upstreams of the service, with or without capacity, so that the
+	 * preferred upstreams stay the same while some are full
+	 * @return the weights of the preferred upstreams
 	 */
 	Map<TrackedUpstream, Integer> weights(Collection<TrackedUpstream> serving) {
-		if (this.parts.isEmpty()) {
+		if (this.segments.isEmpty()) {
 			return Map.of();
 		}
 		Map<TrackedUpstream, Integer> weights = new HashMap<>();
-		for (Segment part : this.parts) {
-			List<TrackedUpstream> homes = homes(part, serving);
-			for (int rank = 0; rank < homes.size(); rank++) {
-				int weight = Math.min(MOST, part.tokens() / TOKENS_PER_COST * (HOMES - rank) / HOMES);
-				weights.merge(homes.get(rank), weight, (one, other) -> Math.min(MOST, one + other));
+		for (Segment segment : this.segments) {
+			List<TrackedUpstream> preferredUpstreams = preferred(segment, serving);
+			for (int rank = 0; rank < preferredUpstreams.size(); rank++) {
+				int weight = Math.min(MAX_WEIGHT,
+						segment.tokens() / TOKENS_PER_COST * (PREFERRED_COUNT - rank) / PREFERRED_COUNT);
+				weights.merge(preferredUpstreams.get(rank), weight, (one, other) -> Math.min(MAX_WEIGHT, one + other));
 			}
 		}
 		return weights;
 	}
 
-	private static List<TrackedUpstream> homes(Segment part, Collection<TrackedUpstream> serving) {
+	private static List<TrackedUpstream> preferred(Segment segment, Collection<TrackedUpstream> serving) {
 		Comparator<TrackedUpstream> byScore = Comparator
-			.comparingLong((upstream) -> RendezvousHash.score(upstream.descriptor().id(), part.prefixHash()));
-		return serving.stream().sorted(byScore.reversed()).limit(HOMES).toList();
+			.comparingLong((upstream) -> RendezvousHash.score(upstream.descriptor().id(), segment.prefixHash()));
+		return serving.stream().sorted(byScore.reversed()).limit(PREFERRED_COUNT).toList();
 	}
 
 	/**
-	 * A long part of a prompt.
+	 * A long segment of a prompt.
 	 *
-	 * @param prefixHash of it and of all parts before it
-	 * @param tokens its length
+	 * @param prefixHash hash of the segment and of all segments before it
+	 * @param tokens the length of the segment in tokens
 	 */
 	public record Segment(int prefixHash, int tokens) {
 	}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/SlotClaimOrder.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/SlotClaimOrder.java
@@ -6,15 +6,14 @@
 import java.util.Objects;
 
 /**
- * The order in which the processes that run jobs take the last slots of an upstream, and
- * give them back.
+ * The order in which the processes that run batch items claim the last free slots of an
+ * upstream, and yield them.
  * <p>
- * Each process learns what the others have there up to 0.1 s late. Without an order,
- * three of them saw the same free slot and all took it, and when one slot was needed all
- * three gave one: in a day with 305 items there were 819 cuts, one in twelve at upstreams
- * without any online request; with the order there were 446. The order differs from
- * upstream to upstream, so that each process is first at its share of them. Used on one
- * thread.
+ * Each process learns up to 0.1 s late what the others run at an upstream. Without a
+ * fixed order, several processes claim the same free slot, and when one slot is needed
+ * each of them preempts an item (2.7 preemptions an item, one in twelve of them at
+ * upstreams without any online request; 1.5 with the order). The order differs between
+ * upstreams, so that each process is first at an equal share of them. Not thread-safe.
  */
 public final class SlotClaimOrder {
 
@@ -30,17 +29,17 @@
 	}
 
 	/**
-	 * Returns the turns among some processes.
+	 * Returns the claim order among processes.
 	 * @param self the name of this process
-	 * @param runners the names of the processes that run jobs
-	 * @return the turns
+	 * @param runners the names of the processes that run batch items
+	 * @return a new claim order
 	 */
 	public static SlotClaimOrder of(String self, List<String> runners) {
 		return new SlotClaimOrder(self, runners);
 	}
 
 	/**
-	 * Returns the processes that take turns.
+	 * Returns the processes that run batch items.
 	 * @return their names
 	 */
 	public List<String> runners() {
@@ -48,42 +47,43 @@
 	}
 
 	/**
-	 * Returns how many processes come before this one.
+	 * Returns this process's position in the order.
 	 * @param upstreamKey the upstream's key
-	 * @return 0 for the one that takes the last free slot
+	 * @return the number of processes that come before this one; 0 for the process that
+	 * claims the last free slot
 	 */
 	int rank(int upstreamKey) {
 		return this.ranks.computeIfAbsent(upstreamKey,
-				(key) -> (int) this.runners.stream().filter((runner) -> before(runner, this.self, key)).count());
+				(key) -> (int) this.runners.stream().filter((runner) -> precedes(runner, this.self, key)).count());
 	}
 
 	/**
-	 * Returns how many of the free slots of an upstream are this process's to take: the
-	 * first process takes the first, the second the next, and so on round.
-	 * @param free how many are free
+	 * Returns how many of an upstream's free slots this process may claim. Free slots are
+	 * dealt to the processes in turn, in their order.
+	 * @param freeSlots the number of free slots
 	 * @param upstreamKey the upstream's key
-	 * @return this process's share
+	 * @return the number of slots
 	 */
-	public int share(int free, int upstreamKey) {
-		int count = Math.max(1, this.runners.size());
-		return Math.max(0, free - rank(upstreamKey) + count - 1) / count;
+	public int claimableSlots(int freeSlots, int upstreamKey) {
+		int runnerCount = Math.max(1, this.runners.size());
+		return Math.max(0, freeSlots - rank(upstreamKey) + runnerCount - 1) / runnerCount;
 	}
 
 	/**
-	 * Tells whether a process gives slots back before this one does: the first to take is
-	 * the last to give.
-	 * @param peer the other process
+	 * Returns whether another process yields slots before this one does. The first
+	 * process to claim a slot is the last one to yield it.
+	 * @param peer the name of the other process
 	 * @param upstreamKey the upstream's key
-	 * @return whether it does
+	 * @return whether the other process yields first
 	 */
 	public boolean yieldsFirst(String peer, int upstreamKey) {
-		return before(this.self, peer, upstreamKey);
+		return precedes(this.self, peer, upstreamKey);
 	}
 
-	private static boolean before(String one, String other, int upstreamKey) {
-		long first = RendezvousHash.score(one, upstreamKey);
-		long second = RendezvousHash.score(other, upstreamKey);
-		return (first != second) ? first > second : one.compareTo(other) < 0;
+	private static boolean precedes(String one, String other, int upstreamKey) {
+		long oneScore = RendezvousHash.score(one, upstreamKey);
+		long otherScore = RendezvousHash.score(other, upstreamKey);
+		return (oneScore != otherScore) ? oneScore > otherScore : one.compareTo(other) < 0;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/SlotSharing.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/SlotSharing.java
@@ -5,69 +5,71 @@
 /**
  * Shares the slots of an upstream between online requests and batch items.
  * <p>
- * Engines admit in order of arrival and know no priorities: an online request that
- * arrives at a full engine waits until some run ends, and an item of a batch job lasts
- * several times as long as a usual request. So batch fills the slots that are free and
- * gives them back as soon as online requests need them; an item that is preempted goes on
- * later after its last event, for which its tokens are read anew.
+ * Upstreams run requests in order of arrival, without priorities: an online request that
+ * arrives at a full upstream waits until a request there ends, and a batch item runs
+ * several times as long as a typical online request. Batch items therefore fill free
+ * slots and are preempted as soon as online requests need the slots. A preempted item is
+ * resumed later after its last event, for which its tokens have to be computed again.
  */
 public final class SlotSharing {
 
 	/**
-	 * Online requests that an engine gets beyond its slots, so that none stands empty.
+	 * Online requests sent to an upstream beyond its slots, so that no slot is left
+	 * empty.
 	 */
 	private static final int QUEUE_DEPTH = 2;
 
-	/** How long batch keeps away from an upstream where it has just been preempted. */
+	/** How long no batch items are started at an upstream after a preemption there. */
 	private static final long PREEMPTION_COOLDOWN_NANOS = 300_000_000;
 
-	/** Age up to which starts of this process may be missing from its peers' views. */
+	/** Time for which starts of this process may be missing from its peers' views. */
 	private static final long MAX_REPORT_AGE_NANOS = 120_000_000;
 
-	/** Slots that batch leaves free for each online request in progress. */
+	/** Slots that batch items leave free for each online request in progress. */
 	private static final double HEADROOM_PER_REQUEST = 0.13;
 
 	private SlotSharing() {
 	}
 
 	/**
-	 * Tells whether an upstream has room for an online request. Batch items there do not
-	 * count, since they yield.
+	 * Returns whether an upstream has capacity for an online request. Batch items do not
+	 * count, since they are preempted.
 	 * @param upstream the upstream
-	 * @return whether it has
+	 * @return whether it has capacity
 	 */
 	public static boolean hasOnlineCapacity(TrackedUpstream upstream) {
 		return upstream.onlineLoad() < upstream.descriptor().slots() + QUEUE_DEPTH;
 	}
 
 	/**
-	 * Tells whether an online request would begin to run as soon as batch has yielded.
+	 * Returns whether an online request would start as soon as batch items have been
+	 * preempted.
 	 * @param upstream the upstream
-	 * @return whether online requests leave a slot there
+	 * @return whether online requests leave a slot free
 	 */
 	public static boolean hasFreeOnlineSlot(TrackedUpstream upstream) {
 		return upstream.onlineLoad() < upstream.descriptor().slots();
 	}
 
 	/**
-	 * Tells whether slots are scarce for online requests. Entries that choose for
-	 * themselves then meet at the same engine, and ask the dispatcher instead.
+	 * Returns whether slots are scarce for online requests. Entries that choose upstreams
+	 * themselves then converge on the same upstream, so they ask the dispatcher instead.
 	 * @param fleet the upstreams of a service
-	 * @return whether online requests have half of the slots or more; not if there are
-	 * none, since nobody can give any
+	 * @return whether online requests use at least half of the slots; false if there are
+	 * no slots, since no dispatcher could grant one
 	 */
 	public static boolean slotsScarce(List<TrackedUpstream> fleet) {
 		int slots = 0;
-		int online = 0;
+		int onlineRequests = 0;
 		for (TrackedUpstream upstream : fleet) {
 			slots += upstream.descriptor().slots();
-			online += upstream.onlineLoad();
+			onlineRequests += upstream.onlineLoad();
 		}
-		return slots > 0 && 2 * online >= slots;
+		return slots > 0 && 2 * onlineRequests >= slots;
 	}
 
 	/**
-	 * Tells whether a request would begin to run at once.
+	 * Returns whether a request would start immediately.
 	 * @param upstream the upstream
 	 * @return whether a slot is free
 	 */
@@ -76,58 +78,61 @@
 	}
 
 	/**
-	 * Tells whether an upstream has room for a batch item of this process. The slots that
-	 * are free there are dealt out in turn: each process learns late what the others
-	 * start, and all would take the same slot.
+	 * Returns whether this process may start a batch item at an upstream. Free slots are
+	 * dealt to the processes in their claim order: each process learns late of the items
+	 * that the others start, so without an order all of them would claim the same slot.
 	 * @param upstream the upstream
-	 * @param turns the processes that run jobs
-	 * @param nowNanos the ticker's reading
-	 * @return whether it has
+	 * @param claimOrder the claim order of the processes that run batch items
+	 * @param nowNanos the ticker's reading in nanoseconds
+	 * @return whether a free slot may be claimed and the cooldown after the last
+	 * preemption is over
 	 */
-	public static boolean hasBatchCapacity(TrackedUpstream upstream, SlotClaimOrder turns, long nowNanos) {
+	public static boolean hasBatchCapacity(TrackedUpstream upstream, SlotClaimOrder claimOrder, long nowNanos) {
 		if (!hasFreeSlot(upstream) || upstream.preemptedSince(nowNanos - PREEMPTION_COOLDOWN_NANOS)) {
 			return false;
 		}
-		int taken = upstream.batchStartsSince(nowNanos - MAX_REPORT_AGE_NANOS);
-		int free = upstream.descriptor().slots() - upstream.load() + taken;
-		return taken < turns.share(free, upstream.key());
+		int unreportedStarts = upstream.batchStartsSince(nowNanos - MAX_REPORT_AGE_NANOS);
+		int freeSlots = upstream.descriptor().slots() - upstream.load() + unreportedStarts;
+		return unreportedStarts < claimOrder.claimableSlots(freeSlots, upstream.key());
 	}
 
 	/**
 	 * Returns how many batch items a process may start now, over all upstreams of a
-	 * service. Some slots are left free for the online requests to come, since a
-	 * preempted item has to read its tokens anew.
+	 * service. Leaves some slots free for upcoming online requests, since a preempted
+	 * item has to compute its tokens again.
 	 * @param fleet the upstreams of the service
-	 * @param processes how many processes start items, each of which takes its share
-	 * @return how many items
+	 * @param runnerCount the number of processes that run batch items, which share the
+	 * spare slots
+	 * @return the number of items
 	 */
-	public static int maxBatchStarts(List<TrackedUpstream> fleet, int processes) {
-		int free = 0;
-		int online = 0;
+	public static int maxBatchStarts(List<TrackedUpstream> fleet, int runnerCount) {
+		int freeSlots = 0;
+		int onlineRequests = 0;
 		for (TrackedUpstream upstream : fleet) {
-			free += Math.max(0, upstream.descriptor().slots() - upstream.load());
-			online += upstream.onlineLoad();
+			freeSlots += Math.max(0, upstream.descriptor().slots() - upstream.load());
+			onlineRequests += upstream.onlineLoad();
 		}
-		int spare = free - (int) Math.ceil(online * HEADROOM_PER_REQUEST);
-		return (spare <= 0) ? 0 : (spare + processes - 1) / Math.max(1, processes);
+		int spareSlots = freeSlots - (int) Math.ceil(onlineRequests * HEADROOM_PER_REQUEST);
+		return (spareSlots <= 0) ? 0 : (spareSlots + runnerCount - 1) / Math.max(1, runnerCount);
 	}
 
 	/**
-	 * Returns how many of its own items a process is to take away from an upstream: what
-	 * is over, less what others take away before it, so that one slot costs one item.
+	 * Returns how many of its own batch items a process has to preempt at an upstream:
+	 * the load in excess of the slots, less what peers preempt before it, so that one
+	 * slot costs one item.
 	 * @param upstream the upstream
-	 * @return how many items
+	 * @return the number of items
 	 */
 	public static int itemsToPreempt(TrackedUpstream upstream) {
-		int over = upstream.load() - upstream.descriptor().slots() - upstream.peerItemsYieldingFirst();
-		return Math.max(0, Math.min(over, upstream.ownLoad(WorkClass.BATCH)));
+		int excess = upstream.load() - upstream.descriptor().slots() - upstream.peerItemsYieldingFirst();
+		return Math.max(0, Math.min(excess, upstream.ownLoad(WorkClass.BATCH)));
 	}
 
 	/**
-	 * Tells whether an online request that is about to be sent needs a slot of a batch
-	 * item.
-	 * @param upstream where it is sent
-	 * @return whether batch is to be told at once
+	 * Returns whether an online request that is about to be sent needs the slot of a
+	 * batch item.
+	 * @param upstream the upstream that the request is sent to
+	 * @return whether a batch item has to be preempted immediately
 	 */
 	public static boolean needsPreemption(TrackedUpstream upstream) {
 		return upstream.load() >= upstream.descriptor().slots() && upstream.batchLoad() > 0;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/TrackedUpstream.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/TrackedUpstream.java
@@ -6,40 +6,40 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * An upstream with what is known of its load: the requests that this process has sent and
- * not seen the end of, and those that the peers say they have sent.
+ * An upstream and its known load: the requests in progress that this process has sent and
+ * those that its peers report.
  */
 public final class TrackedUpstream {
 
 	private final int key;
 
-	private final AtomicInteger online = new AtomicInteger();
+	private final AtomicInteger ownOnline = new AtomicInteger();
 
-	private final AtomicInteger batch = new AtomicInteger();
+	private final AtomicInteger ownBatch = new AtomicInteger();
 
 	private final AtomicInteger granted = new AtomicInteger();
 
-	private final AtomicInteger failures = new AtomicInteger();
+	private final AtomicInteger consecutiveFailures = new AtomicInteger();
 
 	private final AtomicLong avoidUntilNanos = new AtomicLong(Long.MIN_VALUE);
 
-	private final Deque<Long> batchStarts = new ArrayDeque<>();
+	private final Deque<Long> batchStartNanos = new ArrayDeque<>();
 
-	private volatile UpstreamDescriptor entry;
+	private volatile UpstreamDescriptor descriptor;
 
-	private volatile long heardNanos = Long.MIN_VALUE / 2;
+	private volatile long lastActivityNanos = Long.MIN_VALUE / 2;
 
-	private volatile long yieldedNanos = Long.MIN_VALUE / 2;
+	private volatile long lastPreemptionNanos = Long.MIN_VALUE / 2;
 
-	private volatile PeerLoad peers = PeerLoad.NONE;
+	private volatile PeerLoad peerLoad = PeerLoad.NONE;
 
-	TrackedUpstream(UpstreamDescriptor entry) {
-		this.entry = entry;
-		this.key = key(entry.id());
+	TrackedUpstream(UpstreamDescriptor descriptor) {
+		this.descriptor = descriptor;
+		this.key = key(descriptor.id());
 	}
 
 	/**
-	 * Returns the number by which processes name an upstream to each other.
+	 * Returns the number that identifies an upstream in messages between processes.
 	 * @param id the upstream's id
 	 * @return a hash that is the same in every process
 	 */
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Returns the number by which processes name it to each other.
+	 * Returns the number that identifies this upstream in messages between processes.
 	 * @return a hash of its id
 	 */
 	public int key() {
@@ -56,65 +56,65 @@
 	}
 
 	/**
-	 * Returns what it says of itself.
-	 * @return the newest entry
+	 * Returns the upstream's description of itself.
+	 * @return the latest descriptor
 	 */
 	public UpstreamDescriptor descriptor() {
-		return this.entry;
+		return this.descriptor;
 	}
 
 	void descriptor(UpstreamDescriptor newest) {
-		this.entry = newest;
+		this.descriptor = newest;
 	}
 
 	/**
 	 * Counts a request that is about to be sent.
-	 * @param work who waits for it
+	 * @param work the class of the request
 	 */
 	public void begin(WorkClass work) {
-		count(work).incrementAndGet();
+		counter(work).incrementAndGet();
 	}
 
 	/**
 	 * Counts a request that has ended.
-	 * @param work who waited for it
+	 * @param work the class of the request
 	 */
 	public void end(WorkClass work) {
-		count(work).decrementAndGet();
+		counter(work).decrementAndGet();
 	}
 
-	private AtomicInteger count(WorkClass work) {
-		return (work == WorkClass.ONLINE) ? this.online : this.batch;
+	private AtomicInteger counter(WorkClass work) {
+		return (work == WorkClass.ONLINE) ? this.ownOnline : this.ownBatch;
 	}
 
 	/**
-	 * Returns what this process has there.
-	 * @param work who waits
+	 * Returns the load of this process.
+	 * @param work the class of the requests to count
 	 * @return requests sent and not ended
 	 */
 	public int ownLoad(WorkClass work) {
-		return count(work).get();
+		return counter(work).get();
 	}
 
 	/**
-	 * Takes what the peers have there.
-	 * @param newest as far as they have told
+	 * Replaces the load of the peers.
+	 * @param newest the sum of their latest reports
 	 */
 	public void updatePeerLoad(PeerLoad newest) {
-		this.peers = newest;
+		this.peerLoad = newest;
 	}
 
 	/**
-	 * Counts slots there that this process, as dispatcher, has given to entries whose
-	 * reports do not count them yet.
-	 * @param change how many more, or fewer if negative
+	 * Counts slots that this process, as dispatcher, has granted to entries whose reports
+	 * do not include them yet.
+	 * @param change the number of additional slots; negative to remove slots
 	 */
 	public void addGranted(int change) {
 		this.granted.addAndGet(change);
 	}
 
 	/**
-	 * Returns what all processes have there, as far as known.
+	 * Returns the known load of all processes.
 	 * @return requests sent and not ended
 	 */
 	public int load() {
@@ -122,124 +122,124 @@
 	}
 
 	/**
-	 * Returns the online requests that all processes have there, as far as known.
-	 * @return requests sent, or about to be, and not ended
+	 * Returns the known online load of all processes.
+	 * @return online requests that were sent or granted a slot, and have not ended
 	 */
 	public int onlineLoad() {
-		return this.online.get() + this.granted.get() + this.peers.online();
+		return this.ownOnline.get() + this.granted.get() + this.peerLoad.online();
 	}
 
 	/**
-	 * Returns the batch items that all processes have there, as far as known.
-	 * @return items sent and not ended
+	 * Returns the known batch load of all processes.
+	 * @return batch items sent and not ended
 	 */
 	public int batchLoad() {
-		return this.batch.get() + this.peers.batch();
+		return this.ownBatch.get() + this.peerLoad.batch();
 	}
 
 	/**
-	 * Returns the batch items there that yield before any of this process.
-	 * @return items of peers, as far as known
+	 * Returns how many batch items of peers are preempted before any item of this
+	 * process.
+	 * @return the number of items, as far as known
 	 */
 	public int peerItemsYieldingFirst() {
-		return this.peers.yieldingFirst();
+		return this.peerLoad.yieldingFirst();
 	}
 
 	/**
-	 * Learns that this process starts a batch item there. Used on the event loop.
-	 * @param nowNanos the ticker's reading
+	 * Called when this process starts a batch item at the upstream. Used on the event
+	 * loop.
+	 * @param nowNanos the ticker's reading in nanoseconds
 	 */
 	public void recordBatchStart(long nowNanos) {
-		this.batchStarts.addLast(nowNanos);
+		this.batchStartNanos.addLast(nowNanos);
 	}
 
 	/**
-	 * Returns how many batch items this process has started there lately. Used on the
-	 * event loop.
-	 * @param sinceNanos since when, the ticker's reading; earlier starts are forgotten
-	 * @return how many
+	 * Returns how many batch items this process has started since a given time, and
+	 * forgets earlier starts. Used on the event loop.
+	 * @param sinceNanos the given time, as a reading of the ticker in nanoseconds
+	 * @return the number of items
 	 */
 	int batchStartsSince(long sinceNanos) {
-		while (!this.batchStarts.isEmpty() && this.batchStarts.peekFirst() - sinceNanos <= 0) {
-			this.batchStarts.removeFirst();
+		while (!this.batchStartNanos.isEmpty() && this.batchStartNanos.peekFirst() - sinceNanos <= 0) {
+			this.batchStartNanos.removeFirst();
 		}
-		return this.batchStarts.size();
+		return this.batchStartNanos.size();
 	}
 
 	/**
-	 * Learns that batch items were taken away from it for online requests.
-	 * @param nowNanos the ticker's reading
+	 * Called when batch items at the upstream were preempted for online requests.
+	 * @param nowNanos the ticker's reading in nanoseconds
 	 */
 	public void recordPreemption(long nowNanos) {
-		this.yieldedNanos = nowNanos;
+		this.lastPreemptionNanos = nowNanos;
 	}
 
 	/**
-	 * Tells whether batch items were taken away from it lately.
-	 * @param sinceNanos since when, the ticker's reading
-	 * @return whether they were
+	 * Returns whether batch items were preempted since a given time.
+	 * @param sinceNanos the given time, as a reading of the ticker in nanoseconds
+	 * @return whether a preemption was recorded after that time
 	 */
 	public boolean preemptedSince(long sinceNanos) {
-		return this.yieldedNanos - sinceNanos > 0;
+		return this.lastPreemptionNanos - sinceNanos > 0;
 	}
 
 	/**
-	 * Learns that bytes have come from it. What has answered is not avoided any longer.
-	 * @param nowNanos the ticker's reading
+	 * Called when the upstream sent any bytes, which ends an avoidance.
+	 * @param nowNanos the ticker's reading in nanoseconds
 	 */
 	public void recordActivity(long nowNanos) {
-		this.heardNanos = nowNanos;
+		this.lastActivityNanos = nowNanos;
 		if (this.avoidUntilNanos.get() != Long.MIN_VALUE) {
 			recordSuccess();
 		}
 	}
 
 	/**
-	 * Tells whether nothing has come from it.
-	 * @param sinceNanos since when, the ticker's reading
-	 * @return whether it has been silent
+	 * Returns whether the upstream has sent nothing since a given time.
+	 * @param sinceNanos the given time, as a reading of the ticker in nanoseconds
+	 * @return whether no activity was recorded after that time
 	 */
 	public boolean silentSince(long sinceNanos) {
-		return this.heardNanos - sinceNanos <= 0;
+		return this.lastActivityNanos - sinceNanos <= 0;
 	}
 
-	/**
-	 * Learns that a request was answered, which ends an avoidance.
-	 */
+	/** Called when the upstream answered a request, which ends an avoidance. */
 	public void recordSuccess() {
-		this.failures.set(0);
+		this.consecutiveFailures.set(0);
 		this.avoidUntilNanos.set(Long.MIN_VALUE);
 	}
 
 	/**
-	 * Learns that it could not be reached or broke off.
-	 * @return failures since the last answer
+	 * Called when the upstream could not be reached or its connection was lost.
+	 * @return the number of failures since the last success
 	 */
 	public int recordFailure() {
-		return this.failures.incrementAndGet();
+		return this.consecutiveFailures.incrementAndGet();
 	}
 
 	/**
-	 * Keeps requests away for a while, unless nothing else is left.
-	 * @param untilNanos the ticker's reading until which to do so
+	 * Avoids the upstream until a given time, unless no other one is available.
+	 * @param untilNanos the given time, as a reading of the ticker in nanoseconds
 	 */
 	public void avoidUntil(long untilNanos) {
 		this.avoidUntilNanos.set(untilNanos);
 	}
 
 	/**
-	 * Tells whether requests are kept away.
-	 * @param nowNanos the ticker's reading
-	 * @return whether another upstream is to be preferred
+	 * Returns whether the upstream is avoided.
+	 * @param nowNanos the ticker's reading in nanoseconds
+	 * @return whether another upstream is preferred
 	 */
 	public boolean avoided(long nowNanos) {
-		long until = this.avoidUntilNanos.get();
-		return until != Long.MIN_VALUE && until - nowNanos > 0;
+		long avoidUntil = this.avoidUntilNanos.get();
+		return avoidUntil != Long.MIN_VALUE && avoidUntil - nowNanos > 0;
 	}
 
 	@Override
 	public String toString() {
-		return this.entry.id();
+		return this.descriptor.id();
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/UnreportedPlacements.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/UnreportedPlacements.java
@@ -8,66 +8,66 @@
 
 /**
  * Estimates how many requests other entries have placed since their last reports, for the
- * choice of {@link Placement}. The balancer gives every entry about as many, so it goes
- * by the rate of this one. Used on the event loop.
+ * choice of {@link Placement}. The load balancer gives every entry about the same number
+ * of requests, so the estimate is based on the rate of this entry. Not thread-safe: used
+ * on the event loop.
  */
 public final class UnreportedPlacements {
 
-	/** Over how much time the rate is averaged. */
-	private static final double AVERAGED_SECONDS = 1.0;
+	/** Time constant of the moving average of the rate, in seconds. */
+	private static final double RATE_DECAY_SECONDS = 1.0;
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final Ticker ticker;
 
-	private final double ageSeconds;
+	private final double reportAgeSeconds;
 
-	private final IntSupplier others;
+	private final IntSupplier reachableEntries;
 
-	/** The requests placed here, each fading with time. */
-	private double weight;
+	/** Exponentially decayed count of the requests placed by this entry. */
+	private double decayedCount;
 
-	private long weighedNanos;
+	private long decayedNanos;
 
-	private UnreportedPlacements(Ticker ticker, Duration age, IntSupplier others) {
+	private UnreportedPlacements(Ticker ticker, Duration reportAge, IntSupplier reachableEntries) {
 		this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-		this.ageSeconds = age.toNanos() / NANOS_PER_SECOND;
-		this.others = Objects.requireNonNull(others, "others is null");
-		this.weighedNanos = ticker.nanos();
+		this.reportAgeSeconds = reportAge.toNanos() / NANOS_PER_SECOND;
+		this.reachableEntries = Objects.requireNonNull(reachableEntries, "reachableEntries is null");
+		this.decayedNanos = ticker.nanos();
 	}
 
 	/**
-	 * Returns an estimate that has seen no request.
-	 * @param ticker the time
-	 * @param age how old the report of another entry is on average
-	 * @param others how many other entries are heard
-	 * @return the estimate
+	 * Returns an estimate without requests.
+	 * @param ticker the monotonic clock
+	 * @param reportAge the mean age of the latest report of another entry
+	 * @param reachableEntries returns the number of other entries that can be reached
+	 * @return a new estimate
 	 */
-	public static UnreportedPlacements of(Ticker ticker, Duration age, IntSupplier others) {
-		return new UnreportedPlacements(ticker, age, others);
+	public static UnreportedPlacements of(Ticker ticker, Duration reportAge, IntSupplier reachableEntries) {
+		return new UnreportedPlacements(ticker, reportAge, reachableEntries);
 	}
 
-	/**
-	 * Learns that this entry has placed a request.
-	 */
+	/** Called when this entry has placed a request. */
 	public void recordPlacement() {
-		fade();
-		this.weight++;
+		decay();
+		this.decayedCount++;
 	}
 
 	/**
-	 * Returns how many requests the others are likely to have placed.
-	 * @return requests, 0 while no other entry is heard
+	 * Returns how many requests the other entries have probably placed since their
+	 * reports.
+	 * @return the number of requests, 0 while no other entry can be reached
 	 */
 	public double estimate() {
-		fade();
-		return this.weight / AVERAGED_SECONDS * this.ageSeconds * this.others.getAsInt();
+		decay();
+		return this.decayedCount / RATE_DECAY_SECONDS * this.reportAgeSeconds * this.reachableEntries.getAsInt();
 	}
 
-	private void fade() {
+	private void decay() {
 		long now = this.ticker.nanos();
-		this.weight *= Math.exp(-(now - this.weighedNanos) / (AVERAGED_SECONDS * NANOS_PER_SECOND));
-		this.weighedNanos = now;
+		this.decayedCount *= Math.exp(-(now - this.decayedNanos) / (RATE_DECAY_SECONDS * NANOS_PER_SECOND));
+		this.decayedNanos = now;
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/UpstreamDescriptor.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/UpstreamDescriptor.java
@@ -5,20 +5,20 @@
 import org.ragworthook.core.fleet.Address;
 
 /**
- * What an upstream says of itself.
+ * An upstream's description of itself.
  *
- * @param id names one incarnation of the upstream
+ * @param id identifies one incarnation of the upstream
  * @param service the service that it runs
- * @param address where it takes requests
+ * @param address the address at which it accepts requests
  * @param failureDomain the name of its failure domain
- * @param slots how many requests it runs at once; at least one
- * @param draining whether it will leave and wants no more requests
+ * @param slots number of requests that it runs concurrently; at least 1
+ * @param draining whether it is about to leave and accepts no more requests
  */
 public record UpstreamDescriptor(String id, String service, Address address, String failureDomain, int slots,
 		boolean draining) {
 
 	/**
-	 * Checks the values.
+	 * Checks the components.
 	 * @throws IllegalArgumentException if there is no slot
 	 */
 	public UpstreamDescriptor {
@@ -27,7 +27,7 @@
 		Objects.requireNonNull(address, "address is null");
 		Objects.requireNonNull(failureDomain, "failureDomain is null");
 		if (slots < 1) {
-			throw new IllegalArgumentException("upstream " + id + " has no slot");
+			throw new IllegalArgumentException("upstream " + id + " has " + slots + " slots, must have at least 1");
 		}
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/UpstreamRegistry.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/UpstreamRegistry.java
@@ -12,8 +12,8 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * The upstreams that may be used. Changes are rare and made by one thread; requests read
- * an immutable snapshot.
+ * The known upstreams. Updates are rare and made by one thread; requests read an
+ * immutable snapshot.
  */
 public final class UpstreamRegistry {
 
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Asks to be told of changes.
+	 * Adds a listener for changes.
 	 * @param listener runs after each change
 	 */
 	public void onChange(Runnable listener) {
@@ -47,30 +47,31 @@
 	}
 
 	/**
-	 * Takes what an upstream says of itself. One that drains is no longer listed; what it
-	 * runs goes on.
-	 * @param entry the entry
+	 * Adds or updates an upstream. A draining upstream is no longer listed as serving,
+	 * but the requests that it runs continue.
+	 * @param descriptor the upstream's latest descriptor
 	 */
-	public synchronized void put(UpstreamDescriptor entry) {
-		TrackedUpstream known = this.byId.get(entry.id());
-		if (known != null && known.descriptor().equals(entry)) {
+	public synchronized void put(UpstreamDescriptor descriptor) {
+		TrackedUpstream upstream = this.byId.get(descriptor.id());
+		if (upstream != null && upstream.descriptor().equals(descriptor)) {
 			return;
 		}
-		if (known == null) {
-			this.byId.put(entry.id(), new TrackedUpstream(entry));
+		if (upstream == null) {
+			this.byId.put(descriptor.id(), new TrackedUpstream(descriptor));
 		}
 		else {
-			known.descriptor(entry);
+			upstream.descriptor(descriptor);
 		}
-		LOG.info("upstream_entry", "upstream", entry.id(), "service", entry.service(), "address", entry.address(),
-				"domain", entry.failureDomain(), "slots", entry.slots(), "draining", entry.draining());
+		LOG.info("upstream_entry", "upstream", descriptor.id(), "service", descriptor.service(), "address",
+				descriptor.address(), "domain", descriptor.failureDomain(), "slots", descriptor.slots(), "draining",
+				descriptor.draining());
 		publish();
 	}
 
 	/**
-	 * Forgets an upstream.
+	 * Removes an upstream.
 	 * @param id its id
-	 * @param reason why, for the log
+	 * @param reason the reason, for the log
 	 */
 	public synchronized void remove(String id, String reason) {
 		if (this.byId.remove(id) != null) {
@@ -80,15 +81,15 @@
 	}
 
 	/**
-	 * Returns the ids that are known, draining ones included.
-	 * @return a copy
+	 * Returns the ids of all known upstreams, including draining ones.
+	 * @return a copy of the ids
 	 */
 	public synchronized List<String> ids() {
 		return List.copyOf(this.byId.keySet());
 	}
 
 	/**
-	 * Returns the upstreams of a service that take requests.
+	 * Returns the upstreams of a service that accept requests.
 	 * @param service the service
 	 * @return the upstreams
 	 */
@@ -97,7 +98,7 @@
 	}
 
 	/**
-	 * Returns the upstreams of all services.
+	 * Returns the upstreams of all services, including draining ones.
 	 * @return the upstreams
 	 */
 	public Collection<TrackedUpstream> all() {
@@ -105,9 +106,9 @@
 	}
 
 	/**
-	 * Returns the upstream that peers name by a key.
-	 * @param key the key
-	 * @return the upstream, or empty if it is not known here
+	 * Returns the upstream with a key.
+	 * @param key the upstream's {@link TrackedUpstream#key() key}
+	 * @return the upstream, or empty if it is not known to this process
 	 */
 	public Optional<TrackedUpstream> byKey(int key) {
 		return Optional.ofNullable(this.byKey.get(key));
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/package-info.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The upstreams that can be used, what is known of their load, and the choice of one for
- * a request.
+ * The known upstreams and their load, the choice of an upstream for a request, and how
+ * online requests and batch items share slots. A slot is the capacity of an upstream to
+ * run one request.
  */
 package org.ragworthook.gateway.upstream;
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatcherTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/dispatch/DispatcherTests.java
@@ -118,7 +118,7 @@
 	void shouldGrantSlotsHeldByBatchItems() {
 		upstream("u1", 1).updatePeerLoad(new PeerLoad(0, 1, 0));
 		this.dispatcher.handle(request("e1", 1));
-		assertThat(this.answers.granted).containsExactly("e1/1 u1 yields");
+		assertThat(this.answers.granted).containsExactly("e1/1 u1 preempts");
 	}
 
 	@Test
@@ -139,7 +139,7 @@
 		@Override
 		public void granted(SlotRequest request, GrantLedger.Grant grant, boolean preempts) {
 			this.granted
-				.add(request.entry() + "/" + request.number() + " " + grant.upstream() + (preempts ? " yields" : ""));
+				.add(request.entry() + "/" + request.number() + " " + grant.upstream() + (preempts ? " preempts" : ""));
 		}
 
 		@Override
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/PlacementSimulationTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/PlacementSimulationTests.java
@@ -16,53 +16,52 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Plays entries that choose among the same engines and hear of each other late, under a
- * virtual clock, and counts the requests that wait at an engine.
+ * Simulates entries that choose among the same upstreams and receive each other's reports
+ * late, under a virtual clock. Counts the requests that queue at an upstream for too
+ * long.
  */
-class PlacementPlayTests {
+class PlacementSimulationTests {
 
 	private static final int SLOTS = 7;
 
 	private static final int ENGINES = 27;
 
-	private static final int RUN_MILLIS = 650;
+	private static final int MEAN_RUN_MILLIS = 650;
 
-	private static final int NEWS_MILLIS = 100;
+	private static final int REPORT_INTERVAL_MILLIS = 100;
 
-	private static final int PLAYED_MILLIS = 30_000;
+	private static final int SIMULATED_MILLIS = 30_000;
 
-	/** A caller's goal of 300 ms less what the first event takes. */
-	private static final int LATE_MILLIS = 200;
+	/** A caller's latency target of 300 ms less the time to the first event. */
+	private static final int MAX_QUEUE_MILLIS = 200;
 
 	private static final int SEEDS = 5;
 
 	/**
-	 * A calm day of many entries: three quarters of all slots are in use, and no engine
-	 * has to be full. Each entry chooses the engine with the least load that it has heard
-	 * of, which is the same one for all of them for a tenth of a second; one notices
-	 * first events after twice the goal though a quarter of the slots is free.
-	 * @param entries how many entries there are
-	 * @param plain how many of 1,000 requests are late at least when each chooses the
-	 * least load
-	 * @param spread how many are at most when the choice is spread
+	 * Guards against many entries choosing the same least loaded upstream until they
+	 * receive each other's reports. First events then take twice the latency target
+	 * although a quarter of all slots is free and no upstream needs to be full.
+	 * @param entries the number of entries
+	 * @param minLateWithLeastLoad late requests of 1,000 that occur at least when each
+	 * entry chooses the least loaded upstream
+	 * @param maxLateWithSpreading late requests of 1,000 that are tolerated when the
+	 * choice is randomised
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 0, 0", "5, 20, 12", "17, 86, 20", "60, 125, 25" })
-	void shouldNotMeetAtTheSameEngine(int entries, int plain, int spread) {
-		double before = 0;
-		double after = 0;
+	void shouldNotConvergeOnTheSameUpstream(int entries, int minLateWithLeastLoad, int maxLateWithSpreading) {
+		double lateWithLeastLoad = 0;
+		double lateWithSpreading = 0;
 		for (int seed = 1; seed <= SEEDS; seed++) {
-			before += new Play(entries, false, seed).late() / SEEDS;
-			after += new Play(entries, true, seed).late() / SEEDS;
+			lateWithLeastLoad += new Simulation(entries, false, seed).latePerThousand() / SEEDS;
+			lateWithSpreading += new Simulation(entries, true, seed).latePerThousand() / SEEDS;
 		}
-		assertThat(before).isAtLeast(plain);
-		assertThat(after).isAtMost(spread);
+		assertThat(lateWithLeastLoad).isAtLeast(minLateWithLeastLoad);
+		assertThat(lateWithSpreading).isAtMost(maxLateWithSpreading);
 	}
 
-	/**
-	 * One day.
-	 */
-	private static final class Play {
+	/** One simulation run. */
+	private static final class Simulation {
 
 		private final ManualTime time = ManualTime.of();
 
@@ -70,65 +69,64 @@
 
 		private final boolean spreading;
 
-		private final List<View> views = new ArrayList<>();
+		private final List<Entry> entries = new ArrayList<>();
 
 		private final List<Engine> engines = new ArrayList<>();
 
-		private final int[] told = new int[ENGINES];
+		private final int[] reportedLoads = new int[ENGINES];
 
 		private int requests;
 
 		private int late;
 
-		Play(int entries, boolean spreading, int seed) {
+		Simulation(int entryCount, boolean spreading, int seed) {
 			this.random = new Random(seed);
 			this.spreading = spreading;
 			for (int i = 0; i < ENGINES; i++) {
 				this.engines.add(new Engine());
 			}
-			for (int i = 0; i < entries; i++) {
-				this.views.add(new View(i));
+			for (int i = 0; i < entryCount; i++) {
+				this.entries.add(new Entry(i));
 			}
 		}
 
-		double late() {
-			double perMilli = 0.75 * SLOTS * ENGINES / RUN_MILLIS;
-			for (int now = 0; now < PLAYED_MILLIS; now++) {
+		double latePerThousand() {
+			double arrivalsPerMilli = 0.75 * SLOTS * ENGINES / MEAN_RUN_MILLIS;
+			for (int nowMillis = 0; nowMillis < SIMULATED_MILLIS; nowMillis++) {
 				for (Engine engine : this.engines) {
-					engine.round(now);
+					engine.tick(nowMillis);
 				}
-				for (View view : this.views) {
-					if (now % NEWS_MILLIS == view.phase) {
-						view.report();
+				for (Entry entry : this.entries) {
+					if (nowMillis % REPORT_INTERVAL_MILLIS == entry.phase) {
+						entry.report();
 					}
 				}
-				for (double left = perMilli; left > 0; left--) {
-					if (this.random.nextDouble() < left) {
-						this.views.get(this.random.nextInt(this.views.size())).place(now, perMilli);
+				for (double remaining = arrivalsPerMilli; remaining > 0; remaining--) {
+					if (this.random.nextDouble() < remaining) {
+						this.entries.get(this.random.nextInt(this.entries.size())).place(nowMillis, arrivalsPerMilli);
 					}
 				}
 			}
 			return 1_000.0 * this.late / this.requests;
 		}
 
-		/**
-		 * An engine that admits in order of arrival.
-		 */
+		/** An upstream that runs requests in order of arrival. */
 		private final class Engine {
 
-			private final PriorityQueue<Run> running = new PriorityQueue<>((a, b) -> Integer.compare(a.end, b.end));
+			private final PriorityQueue<Run> running = new PriorityQueue<>(
+					(a, b) -> Integer.compare(a.endMillis, b.endMillis));
 
 			private final Deque<Run> waiting = new ArrayDeque<>();
 
-			void round(int now) {
-				while (!this.running.isEmpty() && this.running.peek().end <= now) {
+			void tick(int nowMillis) {
+				while (!this.running.isEmpty() && this.running.peek().endMillis <= nowMillis) {
 					Run ended = this.running.remove();
-					ended.at.end(WorkClass.ONLINE);
+					ended.upstream.end(WorkClass.ONLINE);
 				}
 				while (this.running.size() < SLOTS && !this.waiting.isEmpty()) {
 					Run next = this.waiting.remove();
-					next.end = now + RUN_MILLIS / 2 + Play.this.random.nextInt(RUN_MILLIS);
-					Play.this.late += (now - next.arrived > LATE_MILLIS) ? 1 : 0;
+					next.endMillis = nowMillis + MEAN_RUN_MILLIS / 2 + Simulation.this.random.nextInt(MEAN_RUN_MILLIS);
+					Simulation.this.late += (nowMillis - next.arrivedMillis > MAX_QUEUE_MILLIS) ? 1 : 0;
 					this.running.add(next);
 				}
 			}
@@ -137,35 +135,33 @@
 
 		private static final class Run {
 
-			private final TrackedUpstream at;
+			private final TrackedUpstream upstream;
 
-			private final int arrived;
+			private final int arrivedMillis;
 
-			private int end;
+			private int endMillis;
 
-			Run(TrackedUpstream at, int arrived) {
-				this.at = at;
-				this.arrived = arrived;
+			Run(TrackedUpstream upstream, int arrivedMillis) {
+				this.upstream = upstream;
+				this.arrivedMillis = arrivedMillis;
 			}
 
 		}
 
-		/**
-		 * What one entry knows.
-		 */
-		private final class View {
+		/** An entry and its view of the upstreams. */
+		private final class Entry {
 
 			private final List<TrackedUpstream> fleet = new ArrayList<>();
 
-			private final int[] told = new int[ENGINES];
+			private final int[] lastReported = new int[ENGINES];
 
 			private final Placement placement;
 
 			private final int phase;
 
-			View(int number) {
-				this.phase = Play.this.random.nextInt(NEWS_MILLIS);
-				this.placement = Placement.of("d" + number % 4, Play.this.time, Play.this.random);
+			Entry(int number) {
+				this.phase = Simulation.this.random.nextInt(REPORT_INTERVAL_MILLIS);
+				this.placement = Placement.of("d" + number % 4, Simulation.this.time, Simulation.this.random);
 				for (int i = 0; i < ENGINES; i++) {
 					this.fleet.add(new TrackedUpstream(new UpstreamDescriptor("u" + i, "svc",
 							new Address("10.0.0.1", 80), "d" + i % 4, SLOTS, false)));
@@ -175,26 +171,28 @@
 			void report() {
 				for (int i = 0; i < ENGINES; i++) {
 					int own = this.fleet.get(i).ownLoad(WorkClass.ONLINE);
-					Play.this.told[i] += own - this.told[i];
-					this.told[i] = own;
+					Simulation.this.reportedLoads[i] += own - this.lastReported[i];
+					this.lastReported[i] = own;
 				}
-				for (View other : Play.this.views) {
+				for (Entry other : Simulation.this.entries) {
 					for (int i = 0; i < ENGINES; i++) {
-						other.fleet.get(i).updatePeerLoad(new PeerLoad(Play.this.told[i] - other.told[i], 0, 0));
+						other.fleet.get(i)
+							.updatePeerLoad(
+									new PeerLoad(Simulation.this.reportedLoads[i] - other.lastReported[i], 0, 0));
 					}
 				}
 			}
 
-			void place(int now, double perMilli) {
-				int entries = Play.this.views.size();
-				double unreported = perMilli * NEWS_MILLIS / 2 * (entries - 1) / entries;
+			void place(int nowMillis, double arrivalsPerMilli) {
+				int entryCount = Simulation.this.entries.size();
+				double unreported = arrivalsPerMilli * REPORT_INTERVAL_MILLIS / 2 * (entryCount - 1) / entryCount;
 				TrackedUpstream choice = this.placement
 					.choose(this.fleet, Set.of(), SlotSharing::hasOnlineCapacity, PrefixAffinity.none(),
-							Play.this.spreading ? unreported : 0)
-					.orElse(this.fleet.get(Play.this.random.nextInt(ENGINES)));
+							Simulation.this.spreading ? unreported : 0)
+					.orElse(this.fleet.get(Simulation.this.random.nextInt(ENGINES)));
 				choice.begin(WorkClass.ONLINE);
-				Play.this.requests++;
-				Play.this.engines.get(this.fleet.indexOf(choice)).waiting.add(new Run(choice, now));
+				Simulation.this.requests++;
+				Simulation.this.engines.get(this.fleet.indexOf(choice)).waiting.add(new Run(choice, nowMillis));
 			}
 
 		}
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/PrefixAffinitySimulationTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/PrefixAffinitySimulationTests.java
@@ -17,97 +17,102 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Prompts that share long parts, before engines that cannot keep all of them.
+ * Simulates prompts that share long segments, and upstreams whose prefix caches cannot
+ * hold all of them.
  */
-class PromptHomesPlayTests {
+class PrefixAffinitySimulationTests {
 
 	private static final int ENGINES = 20;
 
 	private static final int SLOTS = 7;
 
-	private static final int MEMORY = 117_808;
+	private static final int CACHE_TOKENS = 117_808;
 
-	private static final int PARTS = 75;
+	private static final int SEGMENTS = 75;
 
-	private static final int PART_TOKENS = 13_300;
+	private static final int SEGMENT_TOKENS = 13_300;
 
 	private static final int RUN_MILLIS = 750;
 
 	private static final int REQUESTS = 6_000;
 
 	/**
-	 * All together the engines can keep twice what the parts take, and one of them keeps
-	 * eight of them. Callers notice that their prompts are read anew: 13,300 tokens take
-	 * an engine 157 ms, half of a usual goal.
-	 * @param slotsTaken share of all slots that the load takes
-	 * @param mostReadAgain of 100 tokens of shared parts, how many may be read again
+	 * Guards against spreading shared segments over all upstreams, where they evict each
+	 * other from the caches. All caches together have room for twice the segments, and
+	 * one cache holds eight of them. An upstream takes 157 ms to compute 13,300 tokens,
+	 * half of a typical latency target.
+	 * @param utilization the fraction of all slots in use
+	 * @param maxRecomputedPercent the percentage of shared segments that may be
+	 * recomputed
 	 */
 	@ParameterizedTest
 	@CsvSource({ "0.2, 10", "0.5, 15", "0.8, 30" })
-	void shouldReadFewSharedPartsAgain(double slotsTaken, int mostReadAgain) {
-		int spread = readAgain(slotsTaken, false);
-		int withHomes = readAgain(slotsTaken, true);
-		assertThat(withHomes).isAtMost(mostReadAgain);
-		assertThat(withHomes).isLessThan(spread / 2);
+	void shouldRecomputeFewSharedSegments(double utilization, int maxRecomputedPercent) {
+		int withoutAffinity = recomputedPercent(utilization, false);
+		int withAffinity = recomputedPercent(utilization, true);
+		assertThat(withAffinity).isAtMost(maxRecomputedPercent);
+		assertThat(withAffinity).isLessThan(withoutAffinity / 2);
 	}
 
 	/**
-	 * Plays.
-	 * @param slotsTaken share of all slots that the load takes
-	 * @param homes whether prompts go to the homes of their parts
-	 * @return of 100 tokens of shared parts, how many were read again
+	 * Runs the simulation.
+	 * @param utilization the fraction of all slots in use
+	 * @param affinity whether prompts are placed by prefix affinity
+	 * @return the percentage of shared segments that were recomputed
 	 */
-	private static int readAgain(double slotsTaken, boolean homes) {
+	private static int recomputedPercent(double utilization, boolean affinity) {
 		Random random = new Random(1);
 		UpstreamRegistry registry = UpstreamRegistry.empty();
-		Map<TrackedUpstream, Kept> memories = new LinkedHashMap<>();
+		Map<TrackedUpstream, PrefixCache> caches = new LinkedHashMap<>();
 		for (int i = 0; i < ENGINES; i++) {
 			registry.put(new UpstreamDescriptor("u-" + i, "svc", new Address("10.0.0." + i, 80), "d", SLOTS, false));
 		}
 		List<TrackedUpstream> fleet = registry.serving("svc");
-		fleet.forEach((engine) -> memories.put(engine, new Kept()));
+		fleet.forEach((upstream) -> caches.put(upstream, new PrefixCache()));
 		Placement placement = Placement.of("d", ManualTime.of(), random);
-		PriorityQueue<End> ends = new PriorityQueue<>((one, other) -> Double.compare(one.at, other.at));
-		Set<Integer> readBefore = new HashSet<>();
-		double pause = RUN_MILLIS / (ENGINES * SLOTS * slotsTaken);
-		double now = 0;
-		int again = 0;
+		PriorityQueue<End> ends = new PriorityQueue<>((one, other) -> Double.compare(one.atMillis, other.atMillis));
+		Set<Integer> computedBefore = new HashSet<>();
+		double meanIntervalMillis = RUN_MILLIS / (ENGINES * SLOTS * utilization);
+		double nowMillis = 0;
+		int recomputed = 0;
 		for (int i = 0; i < REQUESTS; i++) {
-			now += -Math.log(1 - random.nextDouble()) * pause;
-			while (!ends.isEmpty() && ends.peek().at <= now) {
-				ends.poll().engine.end(WorkClass.ONLINE);
+			nowMillis += -Math.log(1 - random.nextDouble()) * meanIntervalMillis;
+			while (!ends.isEmpty() && ends.peek().atMillis <= nowMillis) {
+				ends.poll().upstream.end(WorkClass.ONLINE);
 			}
-			int part = random.nextInt(PARTS);
-			PrefixAffinity prompt = homes ? PrefixAffinity.of(List.of(new PromptSegment("p" + part, PART_TOKENS)))
+			int segment = random.nextInt(SEGMENTS);
+			PrefixAffinity prefixAffinity = affinity
+					? PrefixAffinity.of(List.of(new PromptSegment("p" + segment, SEGMENT_TOKENS)))
 					: PrefixAffinity.none();
-			TrackedUpstream engine = placement.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity, prompt, 0)
+			TrackedUpstream upstream = placement
+				.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity, prefixAffinity, 0)
 				.orElse(fleet.get(random.nextInt(ENGINES)));
-			engine.begin(WorkClass.ONLINE);
-			ends.add(new End(now + RUN_MILLIS, engine));
-			boolean kept = memories.get(engine).use(part);
-			boolean first = readBefore.add(part);
-			again += (kept || first) ? 0 : 1;
+			upstream.begin(WorkClass.ONLINE);
+			ends.add(new End(nowMillis + RUN_MILLIS, upstream));
+			boolean cached = caches.get(upstream).use(segment);
+			boolean first = computedBefore.add(segment);
+			recomputed += (cached || first) ? 0 : 1;
 		}
-		return 100 * again / REQUESTS;
+		return 100 * recomputed / REQUESTS;
 	}
 
-	/** The parts that an engine keeps; the one that was not used for longest yields. */
-	private static final class Kept {
+	/** A least recently used cache of the segments of one upstream. */
+	private static final class PrefixCache {
 
-		private final List<Integer> parts = new ArrayList<>();
+		private final List<Integer> segments = new ArrayList<>();
 
-		boolean use(int part) {
-			boolean kept = this.parts.remove((Integer) part);
-			this.parts.add(part);
-			if (this.parts.size() > MEMORY / PART_TOKENS) {
-				this.parts.remove(0);
+		boolean use(int segment) {
+			boolean cached = this.segments.remove((Integer) segment);
+			this.segments.add(segment);
+			if (this.segments.size() > CACHE_TOKENS / SEGMENT_TOKENS) {
+				this.segments.remove(0);
 			}
-			return kept;
+			return cached;
 		}
 
 	}
 
-	private record End(double at, TrackedUpstream engine) {
+	private record End(double atMillis, TrackedUpstream upstream) {
 	}
 
 }
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/PrefixAffinityTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/PrefixAffinityTests.java
@@ -13,12 +13,10 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-/**
- * Where prompts that share long parts are sent.
- */
+/** Tests where prompts that share long segments are placed. */
 class PrefixAffinityTests {
 
-	private static final int LONG = 13_300;
+	private static final int LONG_TOKENS = 13_300;
 
 	private final UpstreamRegistry registry = UpstreamRegistry.empty();
 
@@ -29,71 +27,73 @@
 		return this.registry.serving("svc");
 	}
 
-	private static PrefixAffinity prompt(String shared, int tokens) {
+	private static PrefixAffinity affinity(String shared, int tokens) {
 		return PrefixAffinity.of(List.of(new PromptSegment(shared, tokens), new PromptSegment("own-" + shared, 250)));
 	}
 
 	@Test
-	void shouldNotWeighShortParts() {
-		assertThat(prompt("a", PrefixAffinity.LEAST_TOKENS - 1).weights(fleet(20))).isEmpty();
+	void shouldIgnoreShortSegments() {
+		assertThat(affinity("a", PrefixAffinity.MIN_TOKENS - 1).weights(fleet(20))).isEmpty();
 	}
 
 	/**
-	 * A part is kept along with all before it, so the same part after another one is not
-	 * the same.
+	 * A segment is cached together with all segments before it, so the same segment after
+	 * another prefix is a different one.
 	 */
 	@Test
-	void shouldTellPartsApartByWhatComesBefore() {
-		PrefixAffinity alone = PrefixAffinity.of(List.of(new PromptSegment("b", LONG)));
-		PrefixAffinity after = PrefixAffinity.of(List.of(new PromptSegment("a", 10), new PromptSegment("b", LONG)));
-		assertThat(alone.parts()).isNotEqualTo(after.parts());
-		assertThat(new PrefixAffinity(after.parts())).isEqualTo(after);
+	void shouldDistinguishSegmentsByTheirPrefix() {
+		PrefixAffinity alone = PrefixAffinity.of(List.of(new PromptSegment("b", LONG_TOKENS)));
+		PrefixAffinity after = PrefixAffinity
+			.of(List.of(new PromptSegment("a", 10), new PromptSegment("b", LONG_TOKENS)));
+		assertThat(alone.segments()).isNotEqualTo(after.segments());
+		assertThat(new PrefixAffinity(after.segments())).isEqualTo(after);
 	}
 
 	/**
-	 * An upstream leaves. The parts of the others keep their first homes; moved, they
-	 * would all be read again.
+	 * Guards against moving the segments of other upstreams when one leaves: they would
+	 * all be recomputed.
 	 */
 	@Test
-	void shouldMoveOnlyThePartsOfAnUpstreamThatLeaves() {
+	void shouldRemapOnlyTheSegmentsOfAnUpstreamThatLeaves() {
 		List<TrackedUpstream> fleet = fleet(20);
-		List<TrackedUpstream> without = fleet.subList(1, 20);
-		Set<TrackedUpstream> homes = new HashSet<>();
-		for (int part = 0; part < 100; part++) {
-			PrefixAffinity prompt = prompt("p" + part, LONG);
-			TrackedUpstream before = first(prompt.weights(fleet));
-			homes.add(before);
-			if (before != fleet.get(0)) {
-				assertThat(first(prompt.weights(without))).isSameInstanceAs(before);
+		List<TrackedUpstream> remaining = fleet.subList(1, 20);
+		Set<TrackedUpstream> preferred = new HashSet<>();
+		for (int segment = 0; segment < 100; segment++) {
+			PrefixAffinity affinity = affinity("p" + segment, LONG_TOKENS);
+			TrackedUpstream previous = mostPreferred(affinity.weights(fleet));
+			preferred.add(previous);
+			if (previous != fleet.get(0)) {
+				assertThat(mostPreferred(affinity.weights(remaining))).isSameInstanceAs(previous);
 			}
 		}
-		assertThat(homes.size()).isAtLeast(18);
+		assertThat(preferred.size()).isAtLeast(18);
 	}
 
-	private static TrackedUpstream first(Map<TrackedUpstream, Integer> weights) {
+	private static TrackedUpstream mostPreferred(Map<TrackedUpstream, Integer> weights) {
 		return weights.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
 	}
 
 	/**
-	 * Many prompts with the same part come at once. The first home takes the first ones,
-	 * and the next homes, which are the same for all entries, share the others with it;
-	 * no prompt waits for a slot at a home while another upstream has one free.
+	 * Many prompts with the same segment arrive at once. The first preferred upstream
+	 * takes the first ones and shares the others with the next preferred ones, which are
+	 * the same for all entries. No prompt waits for a slot while another upstream has a
+	 * free one.
 	 */
 	@Test
-	void shouldGoToTheNextHomesWhenTheFirstFillsUp() {
+	void shouldFallBackToTheNextPreferredUpstreamsWhenTheFirstIsFull() {
 		List<TrackedUpstream> fleet = fleet(20);
-		PrefixAffinity prompt = prompt("a", LONG);
+		PrefixAffinity affinity = affinity("a", LONG_TOKENS);
 		Placement placement = Placement.of("d", ManualTime.of(), new Random(1));
 		List<TrackedUpstream> chosen = new ArrayList<>();
 		for (int i = 0; i < 20 * 7; i++) {
-			TrackedUpstream next = placement.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity, prompt, 0)
+			TrackedUpstream upstream = placement.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity, affinity, 0)
 				.orElseThrow();
-			assertThat(next.onlineLoad()).isLessThan(7);
-			next.begin(WorkClass.ONLINE);
-			chosen.add(next);
+			assertThat(upstream.onlineLoad()).isLessThan(7);
+			upstream.begin(WorkClass.ONLINE);
+			chosen.add(upstream);
 		}
-		assertThat(Set.copyOf(chosen.subList(0, 2))).containsExactly(first(prompt.weights(fleet)));
-		assertThat(prompt.weights(fleet).keySet()).containsAtLeastElementsIn(Set.copyOf(chosen.subList(0, 16)));
+		assertThat(Set.copyOf(chosen.subList(0, 2))).containsExactly(mostPreferred(affinity.weights(fleet)));
+		assertThat(affinity.weights(fleet).keySet()).containsAtLeastElementsIn(Set.copyOf(chosen.subList(0, 16)));
 	}
 
 }
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/SlotClaimOrderTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/SlotClaimOrderTests.java
@@ -17,8 +17,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Several processes fill and clear the same upstreams, each with news of the others that
- * are one round old.
+ * Tests several processes that claim and yield slots of the same upstreams, while their
+ * knowledge of each other is one report interval old.
  */
 class SlotClaimOrderTests {
 
@@ -26,88 +26,86 @@
 
 	private static final int UPSTREAMS = 13;
 
-	private static List<String> names(int count) {
+	private static List<String> processNames(int count) {
 		return IntStream.range(0, count).mapToObj((n) -> "storage-" + n).toList();
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 3, 14 })
-	void shouldGiveEachProcessAnotherRank(int processes) {
-		List<String> names = names(processes);
+	void shouldGiveEachProcessADistinctRank(int processes) {
+		List<String> processNames = processNames(processes);
 		for (int key = 0; key < 100; key++) {
 			Set<Integer> ranks = new HashSet<>();
-			for (String name : names) {
-				ranks.add(SlotClaimOrder.of(name, names).rank(key));
+			for (String name : processNames) {
+				ranks.add(SlotClaimOrder.of(name, processNames).rank(key));
 			}
 			assertThat(ranks).hasSize(processes);
 		}
 	}
 
 	@Test
-	void shouldLetTheFirstToTakeBeTheLastToGive() {
-		List<String> names = names(3);
+	void shouldYieldInReverseOrderOfClaiming() {
+		List<String> processNames = processNames(3);
 		for (int key = 0; key < 100; key++) {
-			SlotClaimOrder turns = SlotClaimOrder.of(names.get(0), names);
-			int givingAfter = 0;
-			for (String peer : names.subList(1, 3)) {
-				givingAfter += turns.yieldsFirst(peer, key) ? 0 : 1;
+			SlotClaimOrder claimOrder = SlotClaimOrder.of(processNames.get(0), processNames);
+			int yieldingAfter = 0;
+			for (String peer : processNames.subList(1, 3)) {
+				yieldingAfter += claimOrder.yieldsFirst(peer, key) ? 0 : 1;
 			}
-			assertThat(givingAfter).isEqualTo(turns.rank(key));
+			assertThat(yieldingAfter).isEqualTo(claimOrder.rank(key));
 		}
 	}
 
 	/**
-	 * The engines are full of online requests but for a slot each, and three processes
-	 * have items ready. Each of them sees the same free slots and used to take them all,
-	 * so that items waited at full engines, before the online requests that came next.
-	 * @param free free slots of each upstream
+	 * Guards against several processes claiming the same free slot, which makes their
+	 * items queue at full upstreams ahead of the next online requests.
+	 * @param freeSlots free slots of each upstream
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3 })
-	void shouldNotTakeTheSameSlotsInOneRound(int free) {
-		Play play = new Play(3, SLOTS - free);
-		play.startItems();
-		play.tell();
+	void shouldNotClaimTheSameSlotsInOneRound(int freeSlots) {
+		Simulation simulation = new Simulation(3, SLOTS - freeSlots);
+		simulation.startItems();
+		simulation.exchangeReports();
 		for (int upstream = 0; upstream < UPSTREAMS; upstream++) {
-			assertThat(play.views.get(0).get(upstream).load()).isEqualTo(SLOTS);
+			assertThat(simulation.views.get(0).get(upstream).load()).isEqualTo(SLOTS);
 		}
 	}
 
 	/**
-	 * Engines are full, and at each an online request arrives that needs a slot. As many
-	 * items are cut as there are requests, not one by each process.
+	 * Guards against every process preempting an item when an online request needs one
+	 * slot of a full upstream.
 	 */
 	@Test
-	void shouldCutOneItemForEachRequest() {
-		Play play = new Play(3, 2);
+	void shouldPreemptOneItemPerRequest() {
+		Simulation simulation = new Simulation(3, 2);
 		for (int round = 0; round < 4; round++) {
-			play.startItems();
-			play.tell();
+			simulation.startItems();
+			simulation.exchangeReports();
 		}
-		int items = play.views.get(0).stream().mapToInt(TrackedUpstream::batchLoad).sum();
-		play.views.forEach((view) -> view.forEach((upstream) -> assertThat(upstream.load()).isEqualTo(SLOTS)));
-		play.online(1);
-		assertThat(play.cut()).isEqualTo(UPSTREAMS);
-		play.tell();
-		assertThat(play.cut()).isEqualTo(0);
-		assertThat(play.views.get(0).stream().mapToInt(TrackedUpstream::batchLoad).sum()).isEqualTo(items - UPSTREAMS);
+		int items = simulation.views.get(0).stream().mapToInt(TrackedUpstream::batchLoad).sum();
+		simulation.views.forEach((view) -> view.forEach((upstream) -> assertThat(upstream.load()).isEqualTo(SLOTS)));
+		simulation.addOnlineRequests(1);
+		assertThat(simulation.preempt()).isEqualTo(UPSTREAMS);
+		simulation.exchangeReports();
+		assertThat(simulation.preempt()).isEqualTo(0);
+		assertThat(simulation.views.get(0).stream().mapToInt(TrackedUpstream::batchLoad).sum())
+			.isEqualTo(items - UPSTREAMS);
 	}
 
-	/**
-	 * Some processes, each with its own view of the same upstreams.
-	 */
-	private static final class Play {
+	/** Some processes, each with its own view of the same upstreams. */
+	private static final class Simulation {
 
-		private final List<String> names;
+		private final List<String> processNames;
 
 		private final List<List<TrackedUpstream>> views = new ArrayList<>();
 
-		private int entryLoad;
+		private int onlineLoad;
 
 		private long nowNanos = 1;
 
-		Play(int processes, int online) {
-			this.names = names(processes);
+		Simulation(int processes, int onlineLoad) {
+			this.processNames = processNames(processes);
 			for (int process = 0; process < processes; process++) {
 				List<TrackedUpstream> view = new ArrayList<>();
 				for (int n = 0; n < UPSTREAMS; n++) {
@@ -115,26 +113,27 @@
 				}
 				this.views.add(view);
 			}
-			this.entryLoad = online;
-			tell();
+			this.onlineLoad = onlineLoad;
+			exchangeReports();
 		}
 
-		private SlotClaimOrder turns(int process) {
-			return SlotClaimOrder.of(this.names.get(process), this.names);
+		private SlotClaimOrder claimOrder(int process) {
+			return SlotClaimOrder.of(this.processNames.get(process), this.processNames);
 		}
 
-		void online(int more) {
-			this.entryLoad += more;
-			tell();
+		void addOnlineRequests(int more) {
+			this.onlineLoad += more;
+			exchangeReports();
 		}
 
 		void startItems() {
 			for (int process = 0; process < this.views.size(); process++) {
 				List<TrackedUpstream> view = this.views.get(process);
-				SlotClaimOrder turns = turns(process);
+				SlotClaimOrder claimOrder = claimOrder(process);
 				Placement placement = Placement.of("a", ManualTime.of(), new Random(process));
 				while (placement
-					.choose(view, Set.of(), (upstream) -> SlotSharing.hasBatchCapacity(upstream, turns, this.nowNanos))
+					.choose(view, Set.of(),
+							(upstream) -> SlotSharing.hasBatchCapacity(upstream, claimOrder, this.nowNanos))
 					.map((chosen) -> {
 						chosen.recordBatchStart(this.nowNanos);
 						chosen.begin(WorkClass.BATCH);
@@ -146,39 +145,38 @@
 			}
 		}
 
-		int cut() {
-			int all = 0;
+		int preempt() {
+			int preempted = 0;
 			for (List<TrackedUpstream> view : this.views) {
 				for (TrackedUpstream upstream : view) {
 					int count = SlotSharing.itemsToPreempt(upstream);
-					all += count;
+					preempted += count;
 					for (int i = 0; i < count; i++) {
 						upstream.end(WorkClass.BATCH);
 					}
 				}
 			}
-			return all;
+			return preempted;
 		}
 
-		/**
-		 * Tells each process what all others have now, a round later.
-		 */
-		void tell() {
+		/** Updates the peer loads of each process, one report interval later. */
+		void exchangeReports() {
 			this.nowNanos += 200_000_000L;
-			Map<Integer, List<Integer>> own = new HashMap<>();
+			Map<Integer, List<Integer>> ownBatch = new HashMap<>();
 			for (int process = 0; process < this.views.size(); process++) {
-				own.put(process,
+				ownBatch.put(process,
 						this.views.get(process).stream().map((upstream) -> upstream.ownLoad(WorkClass.BATCH)).toList());
 			}
 			for (int process = 0; process < this.views.size(); process++) {
 				for (int n = 0; n < UPSTREAMS; n++) {
 					TrackedUpstream upstream = this.views.get(process).get(n);
-					PeerLoad sum = new PeerLoad(this.entryLoad, 0, 0);
+					PeerLoad sum = new PeerLoad(this.onlineLoad, 0, 0);
 					for (int peer = 0; peer < this.views.size(); peer++) {
 						if (peer != process) {
-							int batch = own.get(peer).get(n);
-							boolean first = turns(process).yieldsFirst(this.names.get(peer), upstream.key());
-							sum = sum.plus(new PeerLoad(0, batch, first ? batch : 0));
+							int batch = ownBatch.get(peer).get(n);
+							boolean yieldsFirst = claimOrder(process).yieldsFirst(this.processNames.get(peer),
+									upstream.key());
+							sum = sum.plus(new PeerLoad(0, batch, yieldsFirst ? batch : 0));
 						}
 					}
 					upstream.updatePeerLoad(sum);
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/SlotSharingTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/SlotSharingTests.java
@@ -13,9 +13,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-/**
- * How online requests and batch items share the slots of upstreams.
- */
+/** Tests how online requests and batch items share the slots of upstreams. */
 class SlotSharingTests {
 
 	private static final int SLOTS = 8;
@@ -27,7 +25,7 @@
 				new UpstreamDescriptor(id, "svc", new Address("10.0.0.1", 80), domain, SLOTS, false));
 	}
 
-	private static boolean batchRoom(TrackedUpstream upstream) {
+	private static boolean hasBatchCapacity(TrackedUpstream upstream) {
 		return SlotSharing.hasBatchCapacity(upstream, ALONE, 0);
 	}
 
@@ -40,46 +38,47 @@
 	@ParameterizedTest
 	@CsvSource({ "8, 0, 0, 0, 0", "4, 4, 0, 0, 0", "5, 4, 0, 0, 1", "8, 4, 0, 0, 4", "8, 2, 4, 0, 2", "8, 2, 4, 4, 2",
 			"6, 2, 2, 0, 2", "6, 2, 2, 2, 0", "6, 2, 2, 1, 1", "9, 1, 0, 0, 1", "12, 0, 4, 0, 0" })
-	void shouldYieldWhatOnlineRequestsNeed(int online, int ownBatch, int peerBatch, int givenFirst, int yielded) {
+	void shouldPreemptAsManyItemsAsOnlineRequestsNeed(int online, int ownBatch, int peerBatch, int yieldingFirst,
+			int preempted) {
 		TrackedUpstream upstream = upstream("u", "a");
 		begin(upstream, WorkClass.ONLINE, online);
 		begin(upstream, WorkClass.BATCH, ownBatch);
-		upstream.updatePeerLoad(new PeerLoad(0, peerBatch, givenFirst));
-		assertThat(SlotSharing.itemsToPreempt(upstream)).isEqualTo(yielded);
+		upstream.updatePeerLoad(new PeerLoad(0, peerBatch, yieldingFirst));
+		assertThat(SlotSharing.itemsToPreempt(upstream)).isEqualTo(preempted);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "0, 0, false", "7, 0, false", "7, 9, false", "8, 0, true", "16, 0, true" })
-	void shouldTellWhetherSlotsAreScarce(int online, int batch, boolean scarce) {
+	void shouldDetectScarceSlots(int online, int batch, boolean slotsScarce) {
 		TrackedUpstream upstream = upstream("u", "a");
 		begin(upstream, WorkClass.ONLINE, online);
 		begin(upstream, WorkClass.BATCH, batch);
-		assertThat(SlotSharing.slotsScarce(List.of(upstream, upstream("v", "a")))).isEqualTo(scarce);
+		assertThat(SlotSharing.slotsScarce(List.of(upstream, upstream("v", "a")))).isEqualTo(slotsScarce);
 	}
 
 	/**
-	 * The upstreams of a service are all gone. Nobody can give a slot, and asking for one
-	 * would only hide that no upstream is known.
+	 * Guards against asking a dispatcher for slots when a service has no upstreams: it
+	 * could grant none, and the query would only hide that no upstream is known.
 	 */
 	@Test
-	void shouldNotAskWhereNoUpstreamIsKnown() {
+	void shouldNotCallSlotsScarceWithoutUpstreams() {
 		assertThat(SlotSharing.slotsScarce(List.of())).isFalse();
 	}
 
 	/**
-	 * Twelve upstreams are filled with batch, and a burst of online requests arrives:
-	 * more than there are free slots. Each request finds room at once, and after one
-	 * round of yielding none of them waits behind a batch item.
+	 * Batch items fill all upstreams when a burst of online requests arrives. Each
+	 * request finds capacity immediately, and after one round of preemption none waits
+	 * behind a batch item.
 	 */
 	@Test
-	void shouldMakeRoomForABurst() {
+	void shouldPreemptBatchItemsForABurst() {
 		List<TrackedUpstream> fleet = new ArrayList<>();
 		for (int i = 0; i < 12; i++) {
 			fleet.add(upstream("u" + i, "a"));
 		}
 		Placement placement = Placement.of("a", ManualTime.of(), new Random(1));
-		placement.choose(fleet, Set.of(), SlotSharingTests::batchRoom);
-		while (placement.choose(fleet, Set.of(), SlotSharingTests::batchRoom).map((chosen) -> {
+		placement.choose(fleet, Set.of(), SlotSharingTests::hasBatchCapacity);
+		while (placement.choose(fleet, Set.of(), SlotSharingTests::hasBatchCapacity).map((chosen) -> {
 			chosen.begin(WorkClass.BATCH);
 			return true;
 		}).orElse(false)) {
@@ -89,8 +88,8 @@
 			placement.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity).orElseThrow().begin(WorkClass.ONLINE);
 		}
 		for (TrackedUpstream upstream : fleet) {
-			int cut = SlotSharing.itemsToPreempt(upstream);
-			for (int i = 0; i < cut; i++) {
+			int preempted = SlotSharing.itemsToPreempt(upstream);
+			for (int i = 0; i < preempted; i++) {
 				upstream.end(WorkClass.BATCH);
 			}
 			assertThat(upstream.load()).isAtMost(SLOTS);
@@ -99,30 +98,30 @@
 	}
 
 	/**
-	 * Batch fills the fleet to the last slot while online requests keep coming. Each of
-	 * them cuts an item, which is placed and cut again and again, and most of the
-	 * engines' work on it is done anew.
-	 * @param online online requests in progress over ten upstreams
-	 * @param processes how many processes run jobs
-	 * @param starts how many items each may start
+	 * Guards against batch items that fill the fleet to the last slot while online
+	 * requests keep arriving: each request preempts an item, and most of the work on
+	 * items is repeated.
+	 * @param online online requests in progress, over ten upstreams
+	 * @param runnerCount the number of processes that run batch items
+	 * @param maxStarts the number of items that each may start
 	 */
 	@ParameterizedTest
 	@CsvSource({ "0, 1, 80", "0, 3, 27", "20, 1, 57", "60, 1, 12", "60, 3, 4", "72, 1, 0", "80, 1, 0" })
-	void shouldLeaveSlotsFreeForTheOnlineRequestsThatComeNext(int online, int processes, int starts) {
+	void shouldLeaveHeadroomForOnlineRequests(int online, int runnerCount, int maxStarts) {
 		List<TrackedUpstream> fleet = new ArrayList<>();
 		for (int i = 0; i < 10; i++) {
 			fleet.add(upstream("u" + i, "a"));
 			begin(fleet.get(i), WorkClass.ONLINE, online / 10);
 		}
-		assertThat(SlotSharing.maxBatchStarts(fleet, processes)).isEqualTo(starts);
+		assertThat(SlotSharing.maxBatchStarts(fleet, runnerCount)).isEqualTo(maxStarts);
 	}
 
 	/**
-	 * In a burst the load of an upstream goes up and down. An item that is placed in each
-	 * dip is cut at each rise, and its tokens are read again and again.
+	 * Guards against starting an item at each dip of a fluctuating load and preempting it
+	 * at the next rise, which computes its tokens again and again.
 	 */
 	@Test
-	void shouldKeepBatchAwayForAMomentAfterItYielded() {
+	void shouldNotStartBatchItemsDuringTheCooldownAfterAPreemption() {
 		TrackedUpstream upstream = upstream("u", "a");
 		upstream.recordPreemption(1_000_000_000L);
 		assertThat(SlotSharing.hasBatchCapacity(upstream, ALONE, 1_200_000_000L)).isFalse();
@@ -130,7 +129,7 @@
 	}
 
 	@Test
-	void shouldSpreadRequestsAndPreferTheOwnDomainAmongEquals() {
+	void shouldPreferTheOwnFailureDomainAtEqualLoad() {
 		List<TrackedUpstream> fleet = List.of(upstream("near", "a"), upstream("far", "b"));
 		Placement placement = Placement.of("a", ManualTime.of(), new Random(1));
 		assertThat(placement.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity)).hasValue(fleet.get(0));
@@ -139,11 +138,11 @@
 	}
 
 	/**
-	 * An upstream that broke off is avoided for a while; if no other is left it is used
-	 * all the same, since it may serve again.
+	 * An upstream whose connection was lost is avoided for a while, but used if no other
+	 * is left, since it may serve again.
 	 */
 	@Test
-	void shouldAvoidWhatFailedUnlessNothingElseIsLeft() {
+	void shouldUseAnAvoidedUpstreamOnlyAsLastResort() {
 		List<TrackedUpstream> fleet = List.of(upstream("near", "a"), upstream("far", "b"));
 		ManualTime time = ManualTime.of();
 		Placement placement = Placement.of("a", time, new Random(1));
@@ -154,12 +153,12 @@
 	}
 
 	@Test
-	void shouldFindNoRoomWhereEnginesAreFull() {
+	void shouldChooseNoUpstreamWhenAllAreFull() {
 		List<TrackedUpstream> fleet = List.of(upstream("u", "a"));
 		begin(fleet.get(0), WorkClass.ONLINE, 10);
 		Placement placement = Placement.of("a", ManualTime.of(), new Random(1));
 		assertThat(placement.choose(fleet, Set.of(), SlotSharing::hasOnlineCapacity)).isEmpty();
-		assertThat(placement.choose(fleet, Set.of(), SlotSharingTests::batchRoom)).isEmpty();
+		assertThat(placement.choose(fleet, Set.of(), SlotSharingTests::hasBatchCapacity)).isEmpty();
 	}
 
 }
