--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemRun.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ItemRun.java
@@ -34,7 +34,10 @@
 
 	private static final int SERVER_ERROR = 500;
 
-	/** Pause after the first interrupted run; it doubles with each further one. */
+	/**
+	 * Pause after the first run without progress or with a server error; it doubles with
+	 * each further one.
+	 */
 	private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
 	private static final int MAX_BACKOFF_DOUBLINGS = 3;
@@ -66,7 +69,10 @@
 
 	private int serverErrors;
 
-	/** Consecutive runs that were interrupted without a new event. */
+	/**
+	 * Consecutive runs that were interrupted without a new event; a run that could not be
+	 * sent resets the count.
+	 */
 	private int runsWithoutProgress;
 
 	private long resumedFromEvent;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/job/ResultAuthority.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/job/ResultAuthority.java
@@ -74,7 +74,8 @@
 
 	/**
 	 * Revokes all authority if this process was paused or the set of processes has
-	 * changed; to be called before results are reported.
+	 * changed, and forgets writes that need no longer be reported; to be called before
+	 * results are reported.
 	 */
 	void refresh() {
 		Conditions now = new Conditions(this.pauseCount.getAsInt(), this.liveRunners.get());
