--- a/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/dispatch/DispatchReports.java
@@ -13,7 +13,7 @@
 
 import org.ragworthook.core.time.Ticker;
 import org.ragworthook.gateway.peer.LoadExchange;
-import org.ragworthook.gateway.peer.ReportPart;
+import org.ragworthook.gateway.peer.ReportSection;
 import org.ragworthook.gateway.upstream.PrefixAffinity;
 import org.ragworthook.gateway.upstream.RendezvousHash;
 import org.ragworthook.wire.load.LoadReport;
@@ -27,7 +27,7 @@
  * iteration of the event loop are combined into one report. Not thread-safe: used on the
  * event loop.
  */
-public final class DispatchReports implements ReportPart, DispatchClient.Transport, Dispatcher.AnswerSink {
+public final class DispatchReports implements ReportSection, DispatchClient.Transport, Dispatcher.AnswerSink {
 
 	/**
 	 * How long after its latest query to a dispatcher an entry reports each load change
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
@@ -85,7 +85,7 @@
 
 	/**
 	 * Sets the condition that this process has lost the store. Its peers still receive
-	 * its reports; if it remained the owner of jobs, nobody would list their results.
+	 * its reports; if it remained the owner of jobs, nobody would publish their results.
 	 * @param condition returns whether the store is lost to this process
 	 */
 	public void storeLost(BooleanSupplier condition) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/JobChangeReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/JobChangeReports.java
@@ -20,7 +20,7 @@
  * reports: if all of them are lost, the owner finds the change at its next poll. Used on
  * the event loop.
  */
-public final class JobChangeReports implements ReportPart {
+public final class JobChangeReports implements ReportSection {
 
 	/**
 	 * How long a change is repeated in reports: in three of them at least, since single
@@ -56,13 +56,13 @@
 
 	/**
 	 * Adds this section to the reports of a process.
-	 * @param loads the exchange that sends and receives the reports
+	 * @param exchange the exchange that sends and receives the reports
 	 * @param ticker the monotonic clock
 	 * @return the section
 	 */
-	public static JobChangeReports register(LoadExchange loads, Ticker ticker) {
-		JobChangeReports jobs = new JobChangeReports(ticker, loads::flush);
-		loads.add(jobs);
+	public static JobChangeReports attach(LoadExchange exchange, Ticker ticker) {
+		JobChangeReports jobs = new JobChangeReports(ticker, exchange::flush);
+		exchange.add(jobs);
 		return jobs;
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LeaseReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LeaseReports.java
@@ -24,7 +24,7 @@
  * whatever the delay. A peer accepts it only if its own configuration is at least as new
  * as the checked one. Used on the event loop.
  */
-public final class LeaseReports implements ReportPart {
+public final class LeaseReports implements ReportSection {
 
 	private static final EventLog LOG = EventLog.of(LeaseReports.class);
 
@@ -74,15 +74,15 @@
 
 	/**
 	 * Adds this section to the reports of a process.
-	 * @param loads the exchange that sends and receives the reports
+	 * @param exchange the exchange that sends and receives the reports
 	 * @param lease the lease that is renewed by checks of this process and of its peers
 	 * @param self the identity of this process
 	 * @param ticker the monotonic clock
 	 * @param version returns the version of the configuration in force
 	 */
-	public static void register(LoadExchange loads, ConfigurationLease lease, PeerIdentity self, Ticker ticker,
+	public static void attach(LoadExchange exchange, ConfigurationLease lease, PeerIdentity self, Ticker ticker,
 			LongSupplier version) {
-		loads.add(new LeaseReports(lease, self, ticker, version, loads::flush));
+		exchange.add(new LeaseReports(lease, self, ticker, version, exchange::flush));
 	}
 
 	@Override
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
@@ -88,7 +88,7 @@
 
 	private final FleetView fleet;
 
-	private final List<ReportPart> parts = new CopyOnWriteArrayList<>();
+	private final List<ReportSection> sections = new CopyOnWriteArrayList<>();
 
 	private LoadExchange(EventLoop loop, Ticker ticker, UpstreamRegistry registry, PoisonRequestDetector suspects,
 			PeerIdentity self) {
@@ -132,10 +132,10 @@
 
 	/**
 	 * Adds a section to the reports.
-	 * @param part writes and reads the section on the event loop
+	 * @param section writes and reads its fields on the event loop
 	 */
-	public void add(ReportPart part) {
-		this.parts.add(Objects.requireNonNull(part, "part is null"));
+	public void add(ReportSection section) {
+		this.sections.add(Objects.requireNonNull(section, "section is null"));
 	}
 
 	/**
@@ -241,7 +241,7 @@
 	private void round() {
 		List<UpstreamLoad> now = loads();
 		boolean unchanged = now.equals(this.lastLoads) && this.lastWantsSlots == this.wantsSlots.getAsBoolean()
-				&& !this.backlogs.hasChanges() && this.parts.stream().noneMatch(ReportPart::hasChanges);
+				&& !this.backlogs.hasChanges() && this.sections.stream().noneMatch(ReportSection::hasChanges);
 		if (unchanged && ++this.quietRounds < HEARTBEAT_ROUNDS) {
 			return;
 		}
@@ -276,7 +276,7 @@
 	}
 
 	private LoadReport report(LoadReport.Builder report, List<UpstreamLoad> loads) {
-		this.parts.forEach((part) -> part.write(report));
+		this.sections.forEach((section) -> section.write(report));
 		this.suspects.ownCounts()
 			.forEach((fingerprint, breaks) -> report
 				.addSuspects(SuspectRequest.newBuilder().setFingerprint(fingerprint).setBreaks(breaks)));
@@ -334,14 +334,14 @@
 	}
 
 	private PeerLoad load(String peer, UpstreamLoad load) {
-		boolean givesFirst = load.getBatch() > 0
+		boolean yieldsFirst = load.getBatch() > 0
 				&& this.fleet.lastSlotClaimOrder().yieldsFirst(peer, load.getUpstream());
-		return new PeerLoad(load.getOnline(), load.getBatch(), givesFirst ? load.getBatch() : 0);
+		return new PeerLoad(load.getOnline(), load.getBatch(), yieldsFirst ? load.getBatch() : 0);
 	}
 
 	private void receive(LoadReport report) {
 		this.peers.accept(report).ifPresent((peer) -> accepted(peer, report));
-		this.parts.forEach((part) -> part.read(report));
+		this.sections.forEach((section) -> section.read(report));
 	}
 
 	private void accepted(Peer peer, LoadReport report) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/QuotaReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/QuotaReports.java
@@ -10,7 +10,7 @@
  * The section of load reports about how much of the accounts' quotas each process has
  * used. Used on the event loop.
  */
-public final class QuotaReports implements ReportPart {
+public final class QuotaReports implements ReportSection {
 
 	/** Accounts in one report at most; the others wait until fewer were used recently. */
 	private static final int MAX_ACCOUNTS = 200;
@@ -23,12 +23,12 @@
 
 	/**
 	 * Adds this section to the reports of a process.
-	 * @param loads the exchange that sends and receives the reports
+	 * @param exchange the exchange that sends and receives the reports
 	 * @param ledger the usage by this process, which receives that by its peers
 	 */
-	public static void register(LoadExchange loads, QuotaLedger ledger) {
-		loads.add(new QuotaReports(ledger));
-		ledger.onReportDue(loads::flush);
+	public static void attach(LoadExchange exchange, QuotaLedger ledger) {
+		exchange.add(new QuotaReports(ledger));
+		ledger.onReportDue(exchange::flush);
 	}
 
 	@Override
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportPart.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ReportSection.java
@@ -6,7 +6,7 @@
  * A section of load reports that a part of the process writes and reads. Its methods are
  * called on the event loop.
  */
-public interface ReportPart {
+public interface ReportSection {
 
 	/**
 	 * Returns whether the next round has to send a report although the loads are
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ListingReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ResultReports.java
@@ -15,7 +15,8 @@
 import org.ragworthook.wire.load.LoadReport;
 
 /**
- * The section of load reports about the result segments that owners of jobs have listed.
+ * The section of load reports about the result segments that owners of jobs have
+ * published.
  * <p>
  * Callers poll a running job several times before it has a result, each time through
  * another entry. Answered from the store, each poll costs one or two calls; these were a
@@ -23,13 +24,13 @@
  * answer.
  * <p>
  * A segment that one entry has shown to a caller must not be missing in the answer of
- * another entry more than a second later. The process that lists a segment includes it in
- * all of its reports from before the write on. So an entry that has a report less than a
- * second old from every process that may list knows of every segment that can have been
- * shown that long ago. If the report of one of them is older, the entry asks the store.
- * Used on the event loop.
+ * another entry more than a second later. The process that publishes a segment includes
+ * it in all of its reports from before the write on. So an entry that has a report less
+ * than a second old from every process that may publish knows of every segment that can
+ * have been shown that long ago. If the report of one of them is older, the entry asks
+ * the store. Used on the event loop.
  */
-public final class ListingReports implements ReportPart, PublishedResultsView {
+public final class ResultReports implements ReportSection, PublishedResultsView {
 
 	/**
 	 * The greatest age of each report that an answer may rest on. Processes without
@@ -67,35 +68,36 @@
 
 	};
 
-	ListingReports(FleetView fleet, BooleanSupplier stable) {
+	ResultReports(FleetView fleet, BooleanSupplier stable) {
 		this.fleet = Objects.requireNonNull(fleet, "fleet is null");
 		this.stable = Objects.requireNonNull(stable, "stable is null");
 	}
 
 	/**
 	 * Adds this section to the reports of a process.
-	 * @param loads the exchange that sends and receives the reports
+	 * @param exchange the exchange that sends and receives the reports
 	 * @param stable returns whether this process was not paused recently; reports that
 	 * arrived during a pause appear newer than they are
 	 * @return the section
 	 */
-	public static ListingReports register(LoadExchange loads, BooleanSupplier stable) {
-		ListingReports reports = new ListingReports(loads.fleet(), stable);
-		loads.add(reports);
+	public static ResultReports attach(LoadExchange exchange, BooleanSupplier stable) {
+		ResultReports reports = new ResultReports(exchange.fleet(), stable);
+		exchange.add(reports);
 		return reports;
 	}
 
 	/**
-	 * Sets the supplier of the listings of the jobs that this process owns.
-	 * @param listings returns the listings
+	 * Sets the supplier of the published results of the jobs that this process owns.
+	 * @param results returns one element for each job
 	 */
-	public void own(Supplier<List<PublishedResults>> listings) {
-		this.own = Objects.requireNonNull(listings, "listings is null");
+	public void own(Supplier<List<PublishedResults>> results) {
+		this.own = Objects.requireNonNull(results, "results is null");
 	}
 
 	/**
-	 * Sets the listener for listings of peers.
-	 * @param reader called on the event loop when a report with listings was received
+	 * Sets the listener for results that peers have published.
+	 * @param reader called on the event loop when a report with published results was
+	 * received
 	 */
 	public void onUpdate(Runnable reader) {
 		this.listener = Objects.requireNonNull(reader, "reader is null");
@@ -104,16 +106,16 @@
 	@Override
 	public void write(LoadReport.Builder report) {
 		int chars = 0;
-		for (PublishedResults listing : this.own.get()) {
-			chars += listing.jobId().length();
+		for (PublishedResults results : this.own.get()) {
+			chars += results.jobId().length();
 			if (chars > MAX_JOB_ID_CHARS) {
 				return;
 			}
 			report.addListings(JobListing.newBuilder()
-				.setJob(listing.jobId())
-				.setItems(listing.itemCount())
-				.setSegments(listing.maxSegments())
-				.setAll(listing.authoritative()));
+				.setJob(results.jobId())
+				.setItems(results.itemCount())
+				.setSegments(results.maxSegments())
+				.setAll(results.authoritative()));
 		}
 	}
 
@@ -137,10 +139,10 @@
 	private Optional<PublishedResults> authoritative(String jobId, List<LoadReport> reports) {
 		int segments = this.reportedSegments.getOrDefault(jobId, 0);
 		int items = 0;
-		for (PublishedResults listing : this.own.get()) {
-			if (listing.jobId().equals(jobId)) {
-				segments = Math.max(segments, listing.maxSegments());
-				items = listing.authoritative() ? listing.itemCount() : items;
+		for (PublishedResults results : this.own.get()) {
+			if (results.jobId().equals(jobId)) {
+				segments = Math.max(segments, results.maxSegments());
+				items = results.authoritative() ? results.itemCount() : items;
 			}
 		}
 		for (LoadReport report : reports) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -80,8 +80,8 @@
 	/** How long before the end of the grace period a stop abandons open requests. */
 	private static final Duration GRACE_MARGIN = Duration.ofMillis(700);
 
-	/** For collections that change seldom: the next watch call follows at once. */
-	private static final Supplier<Duration> NO_GATHERING = () -> Duration.ZERO;
+	/** For collections that change seldom: a watch makes its next call at once. */
+	private static final Supplier<Duration> NO_COALESCING = () -> Duration.ZERO;
 
 	/** An interval at which these are about one in a hundred log lines. */
 	private static final Duration STORE_CALLS_LOG_INTERVAL = Duration.ofSeconds(10);
@@ -184,8 +184,8 @@
 		startMetrics();
 		this.timers.schedule(STORE_CALLS_LOG_INTERVAL, this::logStoreCalls);
 		this.peers.fleet().storeLost(() -> this.health.downFor().compareTo(IsolationRule.STORE_LOST_TIMEOUT) >= 0);
-		follow(this.platform.upstreams(), this.upstreamFeed, this::gatheringTime);
-		follow(this.platform.configuration(), new ConfigurationListener(), NO_GATHERING);
+		follow(this.platform.upstreams(), this.upstreamFeed, this::coalescingDelay);
+		follow(this.platform.configuration(), new ConfigurationListener(), NO_COALESCING);
 		if (this.settings.runsJobs()) {
 			runJobs(placement, connections);
 		}
@@ -214,18 +214,18 @@
 	}
 
 	/**
-	 * Returns how long a watch lets changes of upstreams gather before the next call, so
+	 * Returns how long a watch waits after changes of upstreams before its next call, so
 	 * that not every process calls the store for every change.
-	 * @return the time between two calls
+	 * @return the delay
 	 */
-	private Duration gatheringTime() {
+	private Duration coalescingDelay() {
 		return CoalescingDelay.forDrainNotice(this.settings.bounds().drainDeadline())
 			.forProcesses(this.peers.fleet().peerCounts().known() + 1);
 	}
 
-	private <T> FeedFollower<T> follow(Feed<T> feed, FeedListener<T> listener, Supplier<Duration> gatheringTime) {
+	private <T> FeedFollower<T> follow(Feed<T> feed, FeedListener<T> listener, Supplier<Duration> coalescingDelay) {
 		FeedFollower<T> follower = FeedFollower.start(feed, listener, this.timers, this.loop,
-				this.settings.bounds().watchTimeout(), this.health, gatheringTime);
+				this.settings.bounds().watchTimeout(), this.health, coalescingDelay);
 		this.followers.add(follower);
 		return follower;
 	}
@@ -238,8 +238,8 @@
 				ThreadLocalRandom.current(), this.suspects, this.metrics, this.peers.dispatchClient(),
 				this.peers.dispatch()::loadChanged, this.peers.exchange()::flush);
 		CallerAccess access = callerAccess();
-		JobReader reader = JobReader.of(this.jobs, this.peers.listings(), this.timers);
-		this.peers.listings().onUpdate(reader::onResultsReported);
+		JobReader reader = JobReader.of(this.jobs, this.peers.results(), this.timers);
+		this.peers.results().onUpdate(reader::onResultsReported);
 		Frontend front = FrontendFactory.of(this.vertx, context, access, this.jobs, reader, this.platform.jobFormat(),
 				this.loop, this.health::up,
 				new JobBacklog(this.peers.exchange(), this.peers.jobChanges(), this.platform::jobs));
@@ -262,8 +262,8 @@
 	private CallerAccess callerAccess() {
 		QuotaLedger quotas = QuotaLedger.of(this.ticker, this.startedMillis, this::accounts,
 				this.peers.fleet()::liveEntryFraction, this.peers.fleet()::knownEntries, ThreadLocalRandom.current());
-		QuotaReports.register(this.peers.exchange(), quotas);
-		this.lease.ifPresent((held) -> LeaseReports.register(this.peers.exchange(), held, this.self, this.ticker,
+		QuotaReports.attach(this.peers.exchange(), quotas);
+		this.lease.ifPresent((held) -> LeaseReports.attach(this.peers.exchange(), held, this.self, this.ticker,
 				() -> this.configuration.current().map(Configuration::version).orElse(0L)));
 		return new CallerAccess(this.accessControl, quotas, this.platform.headers(), this.metrics);
 	}
@@ -299,11 +299,11 @@
 					this.peers.dispatch()));
 		this.peers.exchange().wantsSlots(jobRunner::hasWaitingItems);
 		this.peers.exchange().ownedBacklog(jobRunner::backlog);
-		this.peers.listings().own(jobRunner::publishedResults);
+		this.peers.results().own(jobRunner::publishedResults);
 		this.peers.exchange().onReport(jobRunner::yieldSlots);
 		followJobs(jobRunner, owners);
 		follow(this.platform.retirements(), new RetirementListener(this.settings.instance(), this.peers.exchange(),
-				jobRunner, this.platform::reportRetired, this.timers, this.loop), NO_GATHERING);
+				jobRunner, this.platform::reportRetired, this.timers, this.loop), NO_COALESCING);
 		jobRunner.start();
 	}
 
@@ -340,8 +340,8 @@
 
 	/**
 	 * Stops the process and waits until open requests have ended and finished results are
-	 * listed, or the grace period is nearly over. Requests are still accepted while the
-	 * balancer may direct callers here.
+	 * published, or the grace period is nearly over. Requests are still accepted while
+	 * the balancer may direct callers here.
 	 */
 	public void stop() {
 		LOG.info("stopping", "instance", this.settings.instance());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PeerReports.java
@@ -9,9 +9,9 @@
 import org.ragworthook.gateway.dispatch.DispatchReports;
 import org.ragworthook.gateway.peer.FleetView;
 import org.ragworthook.gateway.peer.JobChangeReports;
-import org.ragworthook.gateway.peer.ListingReports;
 import org.ragworthook.gateway.peer.LoadExchange;
 import org.ragworthook.gateway.peer.PeerIdentity;
+import org.ragworthook.gateway.peer.ResultReports;
 import org.ragworthook.gateway.suspect.PoisonRequestDetector;
 import org.ragworthook.gateway.upstream.UpstreamRegistry;
 
@@ -21,18 +21,18 @@
  * @param exchange sends and receives the reports
  * @param dispatch the section with requests for slots and the answers to them
  * @param dispatchClient requests slots for online requests of this process
- * @param listings the section with listed results
+ * @param results the section with published results
  * @param jobChanges the section with jobs that were accepted or ended
  * @param pauseDetector detects pauses, after which received reports cannot be trusted
  */
 record PeerReports(LoadExchange exchange, DispatchReports dispatch, DispatchClient dispatchClient,
-		ListingReports listings, JobChangeReports jobChanges, PauseDetector pauseDetector) implements AutoCloseable {
+		ResultReports results, JobChangeReports jobChanges, PauseDetector pauseDetector) implements AutoCloseable {
 
 	PeerReports {
 		Objects.requireNonNull(exchange, "exchange is null");
 		Objects.requireNonNull(dispatch, "dispatch is null");
 		Objects.requireNonNull(dispatchClient, "dispatchClient is null");
-		Objects.requireNonNull(listings, "listings is null");
+		Objects.requireNonNull(results, "results is null");
 		Objects.requireNonNull(jobChanges, "jobChanges is null");
 		Objects.requireNonNull(pauseDetector, "pauseDetector is null");
 	}
@@ -56,7 +56,7 @@
 		dispatch.client(dispatchClient);
 		PauseDetector pauseDetector = PauseDetector.start(ticker, timers);
 		return new PeerReports(exchange, dispatch, dispatchClient,
-				ListingReports.register(exchange, pauseDetector::stable), JobChangeReports.register(exchange, ticker),
+				ResultReports.attach(exchange, pauseDetector::stable), JobChangeReports.attach(exchange, ticker),
 				pauseDetector);
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/RetirementListener.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/RetirementListener.java
@@ -24,7 +24,7 @@
 
 	private static final EventLog LOG = EventLog.of(RetirementListener.class);
 
-	/** How often to check whether the last results are listed. */
+	/** How often to check whether the last results are published. */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
 	/**
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
@@ -96,9 +96,9 @@
 	}
 
 	/**
-	 * Guards against jobs whose results nobody lists: a process that runs jobs is cut off
-	 * from the store alone, and still live to its peers. Other processes take over its
-	 * jobs, unless all of them have lost the store.
+	 * Guards against jobs whose results nobody publishes: a process that runs jobs is cut
+	 * off from the store alone, and still live to its peers. Other processes take over
+	 * its jobs, unless all of them have lost the store.
 	 */
 	@Test
 	void shouldLeaveOutRunnersThatLostTheStoreUnlessAllHave() throws InterruptedException {
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ListingSimulation.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ResultReportsSimulation.java
@@ -21,7 +21,7 @@
  * fail, processes are paused, killed and restarted, and the store carries out writes
  * whose answer is lost.
  */
-final class ListingSimulation {
+final class ResultReportsSimulation {
 
 	/** How long after a segment was first shown an entry may still answer without it. */
 	static final Duration MAX_STALENESS = Duration.ofMillis(1_000);
@@ -65,7 +65,7 @@
 
 	private Optional<String> violation = Optional.empty();
 
-	private ListingSimulation(long seed, FaultRates faults) {
+	private ResultReportsSimulation(long seed, FaultRates faults) {
 		this.random = new Random(seed);
 		this.writesPerSecond = 0.1 + this.random.nextDouble();
 		this.faults = faults;
@@ -80,8 +80,8 @@
 	 * @param faults how often each kind of fault occurs
 	 * @return the finished simulation
 	 */
-	static ListingSimulation run(long seed, FaultRates faults) {
-		ListingSimulation simulation = new ListingSimulation(seed, faults);
+	static ResultReportsSimulation run(long seed, FaultRates faults) {
+		ResultReportsSimulation simulation = new ResultReportsSimulation(seed, faults);
 		while (simulation.nowMillis < DURATION_MILLIS) {
 			simulation.step();
 		}
@@ -180,7 +180,7 @@
 
 		private FleetView fleet;
 
-		private ListingReports listings;
+		private ResultReports reports;
 
 		private SimulatedOwner job;
 
@@ -192,14 +192,14 @@
 
 		private void start() {
 			this.run++;
-			Ticker ticker = () -> ListingSimulation.this.nowMillis * NANOS_PER_MILLI;
+			Ticker ticker = () -> ResultReportsSimulation.this.nowMillis * NANOS_PER_MILLI;
 			PeerIdentity self = new PeerIdentity(name(), this.run, address(this.index), this.runsJobs);
 			this.peers = new PeerTable(ticker);
 			this.fleet = new FleetView(ticker, this.peers, self);
-			this.listings = new ListingReports(this.fleet, this::stable);
+			this.reports = new ResultReports(this.fleet, this::stable);
 			this.job = new SimulatedOwner(JOB, ticker, () -> this.pauses, this.fleet::runnerStates);
 			if (this.runsJobs) {
-				this.listings.own(this.job::publishedResults);
+				this.reports.own(this.job::publishedResults);
 			}
 			for (int other = 0; other < OWNERS + ENTRIES; other++) {
 				if (other != this.index) {
@@ -207,7 +207,7 @@
 				}
 			}
 			this.peers.allPeersAdded();
-			this.lastActiveMillis = ListingSimulation.this.nowMillis;
+			this.lastActiveMillis = ResultReportsSimulation.this.nowMillis;
 			this.wokeMillis = Long.MIN_VALUE / 2;
 		}
 
@@ -220,17 +220,17 @@
 		}
 
 		private boolean stable() {
-			return ListingSimulation.this.nowMillis - this.wokeMillis >= 1_000;
+			return ResultReportsSimulation.this.nowMillis - this.wokeMillis >= 1_000;
 		}
 
 		private boolean up() {
-			return ListingSimulation.this.nowMillis >= this.downUntilMillis
-					&& ListingSimulation.this.nowMillis >= this.pausedUntilMillis;
+			return ResultReportsSimulation.this.nowMillis >= this.downUntilMillis
+					&& ResultReportsSimulation.this.nowMillis >= this.pausedUntilMillis;
 		}
 
 		void injectFaults() {
-			FaultRates faults = ListingSimulation.this.faults;
-			long now = ListingSimulation.this.nowMillis;
+			FaultRates faults = ResultReportsSimulation.this.faults;
+			long now = ResultReportsSimulation.this.nowMillis;
 			if (up() && occurs(faults.kills)) {
 				this.downUntilMillis = now + between(300, 4_000);
 				this.socketBuffer.clear();
@@ -245,7 +245,7 @@
 				this.pausedUntilMillis = now + between(100, 6_000);
 			}
 			if (occurs(faults.cuts)) {
-				this.cutUntilMillis[ListingSimulation.this.random.nextInt(OWNERS + ENTRIES)] = now
+				this.cutUntilMillis[ResultReportsSimulation.this.random.nextInt(OWNERS + ENTRIES)] = now
 						+ between(200, 12_000);
 			}
 		}
@@ -254,13 +254,13 @@
 			if (!up()) {
 				return;
 			}
-			long now = ListingSimulation.this.nowMillis;
+			long now = ResultReportsSimulation.this.nowMillis;
 			if (now - this.lastActiveMillis >= 400) {
 				this.pauses++;
 				this.wokeMillis = now;
 			}
 			this.lastActiveMillis = now;
-			boolean receiveFirst = ListingSimulation.this.random.nextBoolean();
+			boolean receiveFirst = ResultReportsSimulation.this.random.nextBoolean();
 			if (receiveFirst) {
 				receiveBuffered();
 			}
@@ -280,7 +280,7 @@
 
 		private void receiveBuffered() {
 			this.socketBuffer
-				.forEach((report) -> this.peers.accept(report).ifPresent((peer) -> this.listings.read(report)));
+				.forEach((report) -> this.peers.accept(report).ifPresent((peer) -> this.reports.read(report)));
 			this.socketBuffer.clear();
 		}
 
@@ -292,14 +292,15 @@
 				.setHost(address(this.index).host())
 				.setPort(1)
 				.setRunsJobs(this.runsJobs);
-			this.listings.write(report);
+			this.reports.write(report);
 			this.peers.liveReports()
 				.stream()
 				.filter(LoadReport::getRunsJobs)
 				.forEach((live) -> report.addHeardRunners(HeardRunner.newBuilder().setInstance(live.getInstance())));
 			LoadReport sent = report.build();
-			for (Process other : ListingSimulation.this.processes) {
-				boolean lost = ListingSimulation.this.random.nextDouble() < ListingSimulation.this.faults.losses;
+			for (Process other : ResultReportsSimulation.this.processes) {
+				boolean lost = ResultReportsSimulation.this.random
+					.nextDouble() < ResultReportsSimulation.this.faults.losses;
 				if (other != this && !lost) {
 					after(between(1, 60), () -> other.receive(this.index, sent));
 				}
@@ -310,7 +311,7 @@
 		 * Adds a report to the socket buffer, which drops new reports when it is full.
 		 */
 		private void receive(int from, LoadReport report) {
-			long now = ListingSimulation.this.nowMillis;
+			long now = ResultReportsSimulation.this.nowMillis;
 			if (now >= this.cutUntilMillis[from] && now >= this.downUntilMillis && this.socketBuffer.size() < 40) {
 				this.socketBuffer.add(report);
 			}
@@ -326,15 +327,15 @@
 				return;
 			}
 			if (!this.job.ready()) {
-				this.job.onSegmentsRead(ListingSimulation.this.storedSegments);
+				this.job.onSegmentsRead(ResultReportsSimulation.this.storedSegments);
 			}
-			else if (occurs(ListingSimulation.this.writesPerSecond)) {
+			else if (occurs(ResultReportsSimulation.this.writesPerSecond)) {
 				write();
 			}
 		}
 
 		private void write() {
-			ListingSimulation simulation = ListingSimulation.this;
+			ResultReportsSimulation simulation = ResultReportsSimulation.this;
 			SimulatedOwner writer = this.job;
 			int segment = writer.segments();
 			writer.beginWrite();
@@ -351,7 +352,7 @@
 		}
 
 		private void whenUp(Runnable task) {
-			long wait = this.pausedUntilMillis - ListingSimulation.this.nowMillis;
+			long wait = this.pausedUntilMillis - ResultReportsSimulation.this.nowMillis;
 			if (wait > 0) {
 				after(wait, () -> whenUp(task));
 			}
@@ -361,9 +362,9 @@
 		}
 
 		private void read() {
-			ListingSimulation simulation = ListingSimulation.this;
+			ResultReportsSimulation simulation = ResultReportsSimulation.this;
 			simulation.reads++;
-			Optional<PublishedResults> reported = this.listings.authoritative(JOB);
+			Optional<PublishedResults> reported = this.reports.authoritative(JOB);
 			if (reported.isEmpty()) {
 				while (simulation.shownMillis.size() < simulation.storedSegments) {
 					simulation.shownMillis.add(simulation.nowMillis);
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ListingSimulationTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ResultReportsSimulationTests.java
@@ -14,7 +14,7 @@
  * entry, more than a second later, that there is none. Entries answer callers who poll
  * for results from the reports of the jobs' owners, not from the store.
  */
-class ListingSimulationTests {
+class ResultReportsSimulationTests {
 
 	private static final int SEEDS = 100;
 
@@ -33,10 +33,10 @@
 			"0, 0, 0, 0, 0.3", "0.03, 0.03, 0.05, 0.05, 0.1", "0.01, 0.01, 0.3, 0.02, 0.3" })
 	void shouldNotOmitASegmentThatACallerWasShown(double pauses, double kills, double cuts, double losses,
 			double lostAnswers) {
-		ListingSimulation.FaultRates faults = new ListingSimulation.FaultRates(pauses, kills, cuts, losses,
+		ResultReportsSimulation.FaultRates faults = new ResultReportsSimulation.FaultRates(pauses, kills, cuts, losses,
 				lostAnswers);
 		for (long seed = 1; seed <= SEEDS; seed++) {
-			ListingSimulation simulation = ListingSimulation.run(seed, faults);
+			ResultReportsSimulation simulation = ResultReportsSimulation.run(seed, faults);
 			assertWithMessage("seed " + seed).that(simulation.violation()).isEmpty();
 		}
 	}
@@ -47,14 +47,14 @@
 	 */
 	@Test
 	void shouldAnswerFromReportsWithoutFaults() {
-		ListingSimulation.FaultRates none = new ListingSimulation.FaultRates(0, 0, 0, 0, 0);
+		ResultReportsSimulation.FaultRates none = new ResultReportsSimulation.FaultRates(0, 0, 0, 0, 0);
 		int[] shares = LongStream.rangeClosed(1, 20)
-			.mapToInt((seed) -> ListingSimulation.run(seed, none).answeredFromReportsPerMille())
+			.mapToInt((seed) -> ResultReportsSimulation.run(seed, none).answeredFromReportsPerMille())
 			.toArray();
 		for (int share : shares) {
 			assertThat(share).isAtLeast(850);
 		}
-		assertThat(ListingSimulation.run(1, none).segments()).isAtLeast(20);
+		assertThat(ResultReportsSimulation.run(1, none).segments()).isAtLeast(20);
 	}
 
 }
