--- a/modules/core/src/main/java/org/ragworthook/core/retry/AttemptOutcome.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/AttemptOutcome.java
@@ -1,35 +1,45 @@
 package org.ragworthook.core.retry;
 
 /**
- * How one attempt at a request ended, as the entry knows it.
+ * How one attempt at a request ended, as known to the entry.
  */
 public enum AttemptOutcome {
 
-	/** The upstream answered, whatever its status. */
+	/** The upstream answered, with any status. */
 	ANSWERED(true),
 
-	/** The upstream answered that it is overloaded or unavailable, and nothing else. */
+	/** The upstream rejected the request as overloaded or unavailable. */
 	REJECTED(true),
 
-	/** The sidecar gives its word that the upstream never got any of it. */
+	/**
+	 * The sidecar confirmed that no part of the request was passed on to the upstream.
+	 */
 	NOT_PASSED_ON(false),
 
-	/** The sidecar has no room; the upstream never got any of it. */
+	/** The sidecar's queue is full; no part of the request was passed on. */
 	REFUSED(false),
 
-	/** The sidecar leaves; the upstream never got any of it. */
+	/**
+	 * The sidecar is draining or disconnected before the request was sent; no part of it
+	 * was passed on.
+	 */
 	RETURNED(false),
 
-	/** Passed on; the upstream was lost before its answer was whole. */
+	/**
+	 * Passed on; the connection to the upstream failed before the answer was complete.
+	 */
 	INCOMPLETE(true),
 
-	/** Passed on; the upstream crashed with it in flight. */
+	/** Passed on; the upstream crashed while the request was in flight. */
 	CRASHED(true),
 
-	/** The link was lost after the request was sent; the sidecar's word is missing. */
+	/**
+	 * The link to the sidecar was lost after the request was sent; whether it was passed
+	 * on is unknown.
+	 */
 	LINK_LOST(true),
 
-	/** Cancelled because its caller no longer wants it. */
+	/** Cancelled because the caller gave up or the deadline passed. */
 	CANCELLED(true);
 
 	private final boolean passedOn;
@@ -39,7 +49,7 @@
 	}
 
 	/**
-	 * Tells whether the upstream may have got the request.
+	 * Returns whether the upstream may have received the request.
 	 * @return false only if it certainly has not
 	 */
 	public boolean passedOn() {
--- a/modules/core/src/main/java/org/ragworthook/core/retry/Deadline.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/Deadline.java
@@ -7,16 +7,16 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * When a request is of no use any longer. Between processes it travels as the time that
- * is left, since their clocks differ.
+ * The time after which the result of a request is useless. Processes exchange the
+ * remaining time instead of a point in time, since their clocks differ.
  *
- * @param ticker the time
- * @param atNanos the ticker's reading, or empty for a request that is always of use
+ * @param ticker the monotonic clock
+ * @param atNanos the ticker's reading at the deadline, or empty for no deadline
  */
 public record Deadline(Ticker ticker, Optional<Long> atNanos) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public Deadline {
 		Objects.requireNonNull(ticker, "ticker is null");
@@ -24,18 +24,18 @@
 	}
 
 	/**
-	 * Returns a deadline some time from now.
-	 * @param ticker the time
-	 * @param left how long from now
+	 * Returns a deadline relative to now.
+	 * @param ticker the monotonic clock
+	 * @param remaining the time from now to the deadline
 	 * @return the deadline
 	 */
-	public static Deadline after(Ticker ticker, Duration left) {
-		return new Deadline(ticker, Optional.of(ticker.nanos() + left.toNanos()));
+	public static Deadline after(Ticker ticker, Duration remaining) {
+		return new Deadline(ticker, Optional.of(ticker.nanos() + remaining.toNanos()));
 	}
 
 	/**
-	 * Returns the deadline that never passes.
-	 * @param ticker the time
+	 * Returns a deadline that never passes.
+	 * @param ticker the monotonic clock
 	 * @return the deadline
 	 */
 	public static Deadline none(Ticker ticker) {
@@ -43,8 +43,8 @@
 	}
 
 	/**
-	 * Returns the time that is left.
-	 * @return the time, negative once the deadline has passed, or empty if there is no
+	 * Returns the remaining time.
+	 * @return the time, negative after the deadline has passed, or empty if there is no
 	 * deadline
 	 */
 	public Optional<Duration> remaining() {
@@ -52,28 +52,29 @@
 	}
 
 	/**
-	 * Tells whether less than a given time is left.
-	 * @param need the time
-	 * @return whether the deadline passes before
+	 * Returns whether the deadline passes within a given time.
+	 * @param time the time from now
+	 * @return whether at most that time remains; false if there is no deadline
 	 */
-	public boolean expiresWithin(Duration need) {
-		return remaining().map((left) -> left.compareTo(need) <= 0).orElse(false);
+	public boolean expiresWithin(Duration time) {
+		return remaining().map((remaining) -> remaining.compareTo(time) <= 0).orElse(false);
 	}
 
 	/**
-	 * Tells whether the deadline has passed.
-	 * @return whether no time is left
+	 * Returns whether the deadline has passed.
+	 * @return whether no time remains
 	 */
 	public boolean passed() {
 		return expiresWithin(Duration.ZERO);
 	}
 
 	/**
-	 * Returns the time that is left as a link's frame carries it.
-	 * @return milliseconds, at least one, or zero if there is no deadline
+	 * Returns the remaining time as it is sent to other processes.
+	 * @return the time in milliseconds, at least 1; 0 if there is no deadline
 	 */
 	public int remainingMillis() {
-		return remaining().map((left) -> (int) Math.max(1, Math.min(Integer.MAX_VALUE, left.toMillis()))).orElse(0);
+		return remaining().map((remaining) -> (int) Math.max(1, Math.min(Integer.MAX_VALUE, remaining.toMillis())))
+			.orElse(0);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/retry/RequestState.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/RequestState.java
@@ -3,22 +3,22 @@
 import java.util.Objects;
 
 /**
- * What has become of a request so far. Immutable.
+ * The progress of a request over its attempts. Immutable.
  *
- * @param idempotent whether running it more than once does no harm
- * @param resumable whether an upstream can go on after what has been passed on
- * @param attempts how many attempts have ended
- * @param lostLinks how many of them ended with their link
- * @param passedOn whether any upstream may have got it
- * @param outputSent whether any output has reached the caller
+ * @param idempotent whether the request may be run more than once
+ * @param resumable whether another upstream can continue a partial output
+ * @param attempts the number of attempts that have ended
+ * @param lostLinks the number of attempts that ended because their link was lost
+ * @param passedOn whether any upstream may have received the request
+ * @param outputSent whether any output has been sent to the caller
  */
 public record RequestState(boolean idempotent, boolean resumable, int attempts, int lostLinks, boolean passedOn,
 		boolean outputSent) {
 
 	/**
 	 * Returns the state of a request before its first attempt.
-	 * @param idempotent whether running it more than once does no harm
-	 * @param resumable whether an upstream can go on after what has been passed on
+	 * @param idempotent whether the request may be run more than once
+	 * @param resumable whether another upstream can continue a partial output
 	 * @return the state
 	 */
 	public static RequestState of(boolean idempotent, boolean resumable) {
@@ -27,9 +27,9 @@
 
 	/**
 	 * Returns the state after an attempt.
-	 * @param outcome how it ended
-	 * @param sent whether any output of it has reached the caller
-	 * @return the state
+	 * @param outcome how the attempt ended
+	 * @param sent whether any of its output has been sent to the caller
+	 * @return the new state
 	 */
 	public RequestState after(AttemptOutcome outcome, boolean sent) {
 		Objects.requireNonNull(outcome, "outcome is null");
--- a/modules/core/src/main/java/org/ragworthook/core/retry/RetryBudget.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/RetryBudget.java
@@ -3,41 +3,42 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds the retries of a service to a share of its requests.
+ * Limits the retries of a service to a fraction of its requests.
  * <p>
- * In an outage every request fails, and retrying each would multiply the load just when
- * the upstreams are weakest; one notices by upstreams that cannot recover until callers
- * give up. Every first attempt earns a part of a retry, every retry spends a whole one,
- * and only a few can be saved up.
+ * In an outage every request fails, and retrying each would multiply the load while the
+ * upstreams are overloaded, so that they cannot recover until callers give up. Every
+ * first attempt deposits a fraction of a retry, every retry withdraws a whole one, and
+ * the balance is capped.
  */
 public final class RetryBudget {
 
-	private static final long WHOLE = 1_000;
+	private static final long UNITS_PER_RETRY = 1_000;
 
-	private final long earned;
+	private final long depositUnits;
 
-	private final long most;
+	private final long maxUnits;
 
-	private final AtomicLong saved;
+	private final AtomicLong balanceUnits;
 
-	private RetryBudget(double share, int saved) {
-		this.earned = (long) (share * WHOLE);
-		this.most = saved * WHOLE;
-		this.saved = new AtomicLong(this.most);
+	private RetryBudget(double retryRatio, int maxBalance) {
+		this.depositUnits = (long) (retryRatio * UNITS_PER_RETRY);
+		this.maxUnits = maxBalance * UNITS_PER_RETRY;
+		this.balanceUnits = new AtomicLong(this.maxUnits);
 	}
 
 	/**
 	 * Returns a full budget.
-	 * @param share retries that one request earns, below one
-	 * @param saved how many retries can be saved up
+	 * @param retryRatio the number of retries deposited per request, below one
+	 * @param maxBalance the maximum number of retries saved up
 	 * @return the budget
 	 */
-	public static RetryBudget of(double share, int saved) {
-		return new RetryBudget(share, saved);
+	public static RetryBudget of(double retryRatio, int maxBalance) {
+		return new RetryBudget(retryRatio, maxBalance);
 	}
 
 	/**
-	 * Returns the usual budget: eight retries in a hundred requests, twenty saved up.
+	 * Returns a budget with default values: 8 retries per 100 requests, at most 20 saved
+	 * up.
 	 * @return the budget
 	 */
 	public static RetryBudget defaults() {
@@ -45,26 +46,27 @@
 	}
 
 	/**
-	 * Learns of a first attempt.
+	 * Deposits a fraction of a retry. Called for the first attempt at each request.
 	 */
 	public void deposit() {
-		long current = this.saved.get();
-		while (current < this.most && !this.saved.compareAndSet(current, Math.min(this.most, current + this.earned))) {
-			current = this.saved.get();
+		long current = this.balanceUnits.get();
+		while (current < this.maxUnits
+				&& !this.balanceUnits.compareAndSet(current, Math.min(this.maxUnits, current + this.depositUnits))) {
+			current = this.balanceUnits.get();
 		}
 	}
 
 	/**
-	 * Spends a retry if there is one.
+	 * Withdraws one retry if the balance suffices.
 	 * @return whether the retry may be made
 	 */
 	public boolean tryWithdraw() {
-		long current = this.saved.get();
-		while (current >= WHOLE) {
-			if (this.saved.compareAndSet(current, current - WHOLE)) {
+		long current = this.balanceUnits.get();
+		while (current >= UNITS_PER_RETRY) {
+			if (this.balanceUnits.compareAndSet(current, current - UNITS_PER_RETRY)) {
 				return true;
 			}
-			current = this.saved.get();
+			current = this.balanceUnits.get();
 		}
 		return false;
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/retry/RetryDecision.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/RetryDecision.java
@@ -6,19 +6,19 @@
 import org.ragworthook.core.error.ErrorCode;
 
 /**
- * What follows an attempt.
+ * What to do after an attempt.
  */
 public sealed interface RetryDecision {
 
 	/**
-	 * Run the request anew on another upstream.
+	 * Run the request again from the start on another upstream.
 	 *
-	 * @param delay how long to wait before
+	 * @param delay how long to wait before the retry
 	 */
 	record Retry(Duration delay) implements RetryDecision {
 
 		/**
-		 * Checks the delay.
+		 * Checks that the delay is present.
 		 */
 		public Retry {
 			Objects.requireNonNull(delay, "delay is null");
@@ -27,14 +27,14 @@
 	}
 
 	/**
-	 * Let another upstream go on after what the caller already has.
+	 * Let another upstream continue after the output that the caller has received.
 	 *
-	 * @param delay how long to wait before
+	 * @param delay how long to wait before the retry
 	 */
 	record Resume(Duration delay) implements RetryDecision {
 
 		/**
-		 * Checks the delay.
+		 * Checks that the delay is present.
 		 */
 		public Resume {
 			Objects.requireNonNull(delay, "delay is null");
@@ -43,20 +43,20 @@
 	}
 
 	/**
-	 * Pass the upstream's answer on; it is whole.
+	 * Deliver the upstream's answer to the caller; it is complete.
 	 */
 	record Deliver() implements RetryDecision {
 	}
 
 	/**
-	 * Give up and say so at once.
+	 * Give up and return an error to the caller immediately.
 	 *
-	 * @param code what the caller is told
+	 * @param code the error code for the caller
 	 */
 	record GiveUp(ErrorCode code) implements RetryDecision {
 
 		/**
-		 * Checks the code.
+		 * Checks that the error code is present.
 		 */
 		public GiveUp {
 			Objects.requireNonNull(code, "code is null");
--- a/modules/core/src/main/java/org/ragworthook/core/retry/RetryPolicy.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/RetryPolicy.java
@@ -5,8 +5,8 @@
 import org.ragworthook.core.error.ErrorCode;
 
 /**
- * Decides what follows an attempt. A request is said not to have been run only if no
- * upstream can have got it; a request that may run only once is tried again only then.
+ * Decides what to do after an attempt. Reports a request as not run only if no upstream
+ * can have received it; a request that is not idempotent is retried only in that case.
  */
 public final class RetryPolicy {
 
@@ -14,30 +14,30 @@
 
 	private final Backoff backoff;
 
-	private final int mostAttempts;
+	private final int maxAttempts;
 
-	private RetryPolicy(RetryBudget budget, Backoff backoff, int mostAttempts) {
+	private RetryPolicy(RetryBudget budget, Backoff backoff, int maxAttempts) {
 		this.budget = Objects.requireNonNull(budget, "budget is null");
 		this.backoff = Objects.requireNonNull(backoff, "backoff is null");
-		this.mostAttempts = mostAttempts;
+		this.maxAttempts = maxAttempts;
 	}
 
 	/**
 	 * Returns a policy.
-	 * @param budget the budget of the service
-	 * @param backoff how long to wait between attempts
-	 * @param mostAttempts how many attempts a request gets at most
+	 * @param budget the retry budget of the service
+	 * @param backoff the delays between attempts
+	 * @param maxAttempts the maximum number of attempts at a request
 	 * @return the policy
 	 */
-	public static RetryPolicy of(RetryBudget budget, Backoff backoff, int mostAttempts) {
-		return new RetryPolicy(budget, backoff, mostAttempts);
+	public static RetryPolicy of(RetryBudget budget, Backoff backoff, int maxAttempts) {
+		return new RetryPolicy(budget, backoff, maxAttempts);
 	}
 
 	/**
-	 * Learns that a request starts.
-	 * @param idempotent whether running it more than once does no harm
-	 * @param resumable whether an upstream can go on after what has been passed on
-	 * @return the state of the request
+	 * Called when a request starts.
+	 * @param idempotent whether the request may be run more than once
+	 * @param resumable whether another upstream can continue a partial output
+	 * @return the initial state of the request
 	 */
 	public RequestState begin(boolean idempotent, boolean resumable) {
 		this.budget.deposit();
@@ -45,11 +45,11 @@
 	}
 
 	/**
-	 * Decides what follows an attempt.
-	 * @param state the request, after the attempt
+	 * Decides what to do after an attempt.
+	 * @param state the state of the request after the attempt
 	 * @param outcome how the attempt ended
-	 * @param deadline the request's deadline
-	 * @return what to do now
+	 * @param deadline the deadline of the request
+	 * @return the decision
 	 */
 	public RetryDecision decide(RequestState state, AttemptOutcome outcome, Deadline deadline) {
 		Objects.requireNonNull(state, "state is null");
@@ -63,8 +63,8 @@
 		if (deadline.passed()) {
 			return new RetryDecision.GiveUp(deadlinePassed(state));
 		}
-		if (!mayTryAgain(state) || state.attempts() >= this.mostAttempts || !affordable(state, outcome)) {
-			return exhausted(state, outcome);
+		if (!mayRetry(state) || state.attempts() >= this.maxAttempts || !withinBudget(state, outcome)) {
+			return afterLastAttempt(state, outcome);
 		}
 		if (state.outputSent()) {
 			return new RetryDecision.Resume(this.backoff.delay(state.attempts() - 1));
@@ -73,42 +73,41 @@
 	}
 
 	/**
-	 * Decides what a request gets for which there is no upstream to try.
-	 * @param state the request
-	 * @return what the caller is told
+	 * Returns the error for a request without an upstream to try.
+	 * @param state the state of the request
+	 * @return the decision to give up, with the error code
 	 */
 	public RetryDecision.GiveUp noUpstream(RequestState state) {
 		return new RetryDecision.GiveUp(giveUp(state, ErrorCode.REQUEST_NOT_RUN_NO_UPSTREAM));
 	}
 
 	/**
-	 * Decides what a request gets whose deadline passes.
-	 * @param state the request
-	 * @return what the caller is told
+	 * Returns the error for a request whose deadline has passed.
+	 * @param state the state of the request
+	 * @return the decision to give up, with the error code
 	 */
 	public RetryDecision.GiveUp deadlineExceeded(RequestState state) {
 		return new RetryDecision.GiveUp(deadlinePassed(state));
 	}
 
-	private static boolean mayTryAgain(RequestState state) {
+	private static boolean mayRetry(RequestState state) {
 		if (state.outputSent()) {
 			return state.idempotent() && state.resumable();
 		}
 		return state.idempotent() || !state.passedOn();
 	}
 
-	// A request that a leaving sidecar hands back is tried again without the budget: a
-	// stop hands back all that waits at once, and each sidecar leaves only once.
-	// A request whose link was lost is tried again once without the budget. A failure
-	// domain that is lost breaks more requests at once than the budget holds; and a lost
-	// link breaks each request once only, since nothing is sent to it until it is back,
-	// so this cannot multiply the load in an outage.
-	private boolean affordable(RequestState state, AttemptOutcome outcome) {
+	// Two retries do not draw on the budget. A draining sidecar returns all its waiting
+	// requests at once, and each sidecar drains only once. A lost failure domain breaks
+	// more requests at once than the budget holds; the first retry after a lost link is
+	// free, since nothing is sent over that link until it is back, so this cannot
+	// multiply the load in an outage.
+	private boolean withinBudget(RequestState state, AttemptOutcome outcome) {
 		boolean free = outcome == AttemptOutcome.LINK_LOST && state.lostLinks() == 1;
 		return free || outcome == AttemptOutcome.RETURNED || this.budget.tryWithdraw();
 	}
 
-	private static RetryDecision exhausted(RequestState state, AttemptOutcome outcome) {
+	private static RetryDecision afterLastAttempt(RequestState state, AttemptOutcome outcome) {
 		if (outcome == AttemptOutcome.REJECTED && !state.outputSent()) {
 			return new RetryDecision.Deliver();
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/retry/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/retry/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decides what follows an attempt at a request: another one, a resumption, or a final
- * answer that is true. Budgets keep retries from making an outage worse.
+ * Decides what to do after an attempt at a request: retry it, resume its output on
+ * another upstream, or give the caller a final answer that states correctly whether the
+ * request may have run. Retry budgets keep retries from amplifying an outage.
  */
 package org.ragworthook.core.retry;
--- a/modules/core/src/test/java/org/ragworthook/core/retry/RetryBudgetConcurrencyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/retry/RetryBudgetConcurrencyTests.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many requests fail on several threads at once when an upstream is lost. A budget that
- * counted wrongly then would let retries multiply the load, or keep one back for good.
+ * Model-checks {@link RetryBudget}. When an upstream is lost, requests fail on several
+ * threads at once; a lost update would allow too many retries or withhold one forever.
  */
 public class RetryBudgetConcurrencyTests {
 
--- a/modules/core/src/test/java/org/ragworthook/core/retry/RetryPolicyTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/retry/RetryPolicyTests.java
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * An attempt ends in each possible way, for a request that may be repeated and one
-	 * that may not, before and after its caller has got some output. A wrong line here
-	 * runs a booking twice or tells a caller something untrue.
+	 * Decision table: each outcome, for idempotent and other requests, before and after
+	 * output was sent to the caller. A wrong decision runs a non-idempotent request twice
+	 * or gives the caller a wrong error code.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "ANSWERED, true, false, Deliver", "ANSWERED, false, true, Deliver", "REJECTED, true, false, Retry",
@@ -50,19 +50,19 @@
 	}
 
 	@Test
-	void shouldNotResumeWhatCannotGoOn() {
+	void shouldNotResumeRequestThatIsNotResumable() {
 		RequestState state = this.policy.begin(true, false).after(AttemptOutcome.INCOMPLETE, true);
 		assertThat(kind(this.policy.decide(state, AttemptOutcome.INCOMPLETE, Deadline.none(this.time))))
 			.isEqualTo("REQUEST_FAILED");
 	}
 
 	/**
-	 * The first upstream broke with the request, the second refused it. To say now that
-	 * it was not run would be untrue.
+	 * The connection to the first upstream failed during the request, and the second
+	 * refused it. The error must not state that the request was not run.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "true, REQUEST_FAILED", "false, REQUEST_OUTCOME_UNKNOWN" })
-	void shouldRememberThatItWasPassedOn(boolean idempotent, String expected) {
+	void shouldNotReportAsNotRunAfterEarlierAttemptWasPassedOn(boolean idempotent, String expected) {
 		RequestState state = this.policy.begin(idempotent, true)
 			.after(AttemptOutcome.INCOMPLETE, false)
 			.after(AttemptOutcome.NOT_PASSED_ON, false);
@@ -92,8 +92,8 @@
 	}
 
 	/**
-	 * Every upstream fails every request for a long time. Retries must not multiply the
-	 * load that keeps the upstreams down.
+	 * All upstreams fail every request for a long time. Retries must not multiply the
+	 * load on upstreams that are already failing.
 	 */
 	@ParameterizedTest
 	@EnumSource(names = { "REJECTED", "REFUSED", "NOT_PASSED_ON", "INCOMPLETE", "CRASHED" })
@@ -114,12 +114,12 @@
 	}
 
 	/**
-	 * A failure domain is lost, or a sidecar hands back all that waits, with hundreds of
-	 * requests at once, more than the budget holds. Each must still be tried again.
+	 * A lost failure domain or a draining sidecar affects hundreds of requests at once,
+	 * more than the budget holds. Each of them must still be retried.
 	 */
 	@ParameterizedTest
 	@EnumSource(names = { "LINK_LOST", "RETURNED" })
-	void shouldRetryBeyondBudgetWhatOneLossBreaks(AttemptOutcome outcome) {
+	void shouldRetryBeyondBudgetAfterSingleLoss(AttemptOutcome outcome) {
 		for (int i = 0; i < 500; i++) {
 			RequestState state = this.policy.begin(true, true).after(outcome, false);
 			assertThat(kind(this.policy.decide(state, outcome, Deadline.none(this.time)))).isEqualTo("Retry");
@@ -136,7 +136,7 @@
 	}
 
 	@Test
-	void shouldTellTimeLeftForLink() {
+	void shouldReturnRemainingMillis() {
 		assertThat(Deadline.none(this.time).remainingMillis()).isEqualTo(0);
 		Deadline deadline = Deadline.after(this.time, Duration.ofMillis(70));
 		assertThat(deadline.remainingMillis()).isEqualTo(70);
