--- a/modules/core/src/main/java/org/ragworthook/core/membership/Members.java
+++ b/modules/core/src/main/java/org/ragworthook/core/membership/Members.java
@@ -6,15 +6,15 @@
 import org.ragworthook.core.fleet.Instance;
 
 /**
- * The instances at one moment. Immutable.
+ * A snapshot of the known instances. Immutable.
  *
- * @param routable those that may get new work: linked, and not leaving
- * @param linkTargets those to be linked to: listed or linked. One that leaves is among
- * them, since its next run may listen at the same address
+ * @param routable the instances that may get new work: linked and not draining
+ * @param linkTargets the instances to keep links to: listed or linked. Includes draining
+ * instances, since the next process may listen on the same address
  */
 public record Members(List<Instance> routable, List<Instance> linkTargets) {
 
-	/** No instances. */
+	/** A snapshot without instances. */
 	public static final Members NONE = new Members(List.of(), List.of());
 
 	/**
@@ -22,7 +22,7 @@
 	 */
 	public Members {
 		routable = List.copyOf(Objects.requireNonNull(routable, "routable is null"));
-		linkTargets = List.copyOf(Objects.requireNonNull(linkTargets, "wanted is null"));
+		linkTargets = List.copyOf(Objects.requireNonNull(linkTargets, "linkTargets is null"));
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/membership/Membership.java
+++ b/modules/core/src/main/java/org/ragworthook/core/membership/Membership.java
@@ -11,19 +11,18 @@
 import org.ragworthook.core.fleet.Instance;
 
 /**
- * Merges the platform's list of instances with what the links to them say.
+ * Merges the platform's instance list with the state of the links to the instances.
  * <p>
- * The list lags and flaps: an instance that has said that it leaves may be listed as live
- * for a long time, and one that serves may be missing for a while. Believing the list
- * alone would send work to an instance that is about to exit, which one notices by
- * requests that fail during every planned stop. So the word of a link goes before the
- * list: a run that said that it leaves never gets work again, for no other run bears its
- * identity; an instance whose link is lost gets none until it is linked again; and one
- * that is linked keeps its place whatever the list says.
+ * The list is delayed and unstable: a draining instance may be listed as live for a long
+ * time, and a serving one may be missing for a while. Relying on the list alone would
+ * send work to instances that are about to exit, and requests would fail during every
+ * planned stop. Link state therefore takes precedence: a process that has announced that
+ * it is draining never gets work again, identified by its run id; an instance whose link
+ * is lost gets none until it is linked again; and a linked instance stays routable even
+ * if it is not listed.
  * <p>
- * Instances are told apart by where they take links, since the list does not know which
- * run of a process listens there. Changes are few and take a lock; {@link #members()}
- * takes none.
+ * Instances are keyed by their link address, since the list does not show which process
+ * listens there. Updates are rare and synchronized; {@link #members()} does not lock.
  */
 public final class Membership {
 
@@ -31,8 +30,10 @@
 
 	private final Map<Address, Linked> linked = new HashMap<>();
 
-	/** By address, the last run that said it leaves. */
-	private final Map<Address, String> leaving = new HashMap<>();
+	/**
+	 * By address, the run id of the last process that announced that it is draining.
+	 */
+	private final Map<Address, String> draining = new HashMap<>();
 
 	private volatile Members members = Members.NONE;
 
@@ -40,7 +41,7 @@
 	}
 
 	/**
-	 * Returns a membership without instances.
+	 * Returns an empty membership.
 	 * @return a new membership
 	 */
 	public static Membership empty() {
@@ -48,16 +49,16 @@
 	}
 
 	/**
-	 * Returns the instances as they are known now.
-	 * @return the newest snapshot
+	 * Returns the current snapshot.
+	 * @return the latest snapshot
 	 */
 	public Members members() {
 		return this.members;
 	}
 
 	/**
-	 * Takes in the platform's list.
-	 * @param instances the whole list
+	 * Called with the platform's instance list.
+	 * @param instances the complete list
 	 * @return the new snapshot
 	 */
 	public synchronized Members instancesListed(Collection<Instance> instances) {
@@ -68,35 +69,35 @@
 	}
 
 	/**
-	 * Learns that an instance is linked.
-	 * @param instance the instance as the list showed it
-	 * @param run the identity that this run of it greeted with
-	 * @param leaves whether it greeted as leaving
+	 * Called when a link to an instance has been established.
+	 * @param instance the instance as listed
+	 * @param run the run id that the process sent when the link was opened
+	 * @param isDraining whether the process announced itself as draining
 	 * @return the new snapshot
 	 */
-	public synchronized Members linkOpened(Instance instance, String run, boolean leaves) {
+	public synchronized Members linkOpened(Instance instance, String run, boolean isDraining) {
 		this.linked.put(instance.link(), new Linked(instance, Objects.requireNonNull(run, "run is null")));
-		if (leaves) {
-			this.leaving.put(instance.link(), run);
+		if (isDraining) {
+			this.draining.put(instance.link(), run);
 		}
 		return publish();
 	}
 
 	/**
-	 * Learns that a run leaves, by its own word.
-	 * @param address where it takes links
-	 * @param run the identity that it greeted with
+	 * Called when a process announces that it is draining.
+	 * @param address the link address of the instance
+	 * @param run the run id of the process
 	 * @return the new snapshot
 	 */
 	public synchronized Members drainAnnounced(Address address, String run) {
-		this.leaving.put(Objects.requireNonNull(address, "address is null"),
+		this.draining.put(Objects.requireNonNull(address, "address is null"),
 				Objects.requireNonNull(run, "run is null"));
 		return publish();
 	}
 
 	/**
-	 * Learns that the link to an instance is lost.
-	 * @param address where it took links
+	 * Called when the link to an instance is lost.
+	 * @param address the link address of the instance
 	 * @return the new snapshot
 	 */
 	public synchronized Members linkLost(Address address) {
@@ -105,20 +106,21 @@
 	}
 
 	private Members publish() {
-		Map<Address, Instance> wanted = new HashMap<>(this.listed);
-		this.linked.forEach((address, link) -> wanted.putIfAbsent(address, link.instance()));
-		// A run that has left greets nobody again once its address is neither listed nor
-		// linked, so its word need not be kept.
-		this.leaving.keySet().retainAll(wanted.keySet());
+		Map<Address, Instance> linkTargets = new HashMap<>(this.listed);
+		this.linked.forEach((address, link) -> linkTargets.putIfAbsent(address, link.instance()));
+		// Once an address is neither listed nor linked, its last process will not link
+		// again, so its draining state can be dropped.
+		this.draining.keySet().retainAll(linkTargets.keySet());
 		List<Instance> routable = new ArrayList<>();
 		this.linked.forEach((address, link) -> {
-			Instance shown = this.listed.get(address);
-			boolean gone = link.run().equals(this.leaving.get(address)) || (shown != null && shown.leaving());
-			if (!gone) {
+			Instance listedInstance = this.listed.get(address);
+			boolean excluded = link.run().equals(this.draining.get(address))
+					|| (listedInstance != null && listedInstance.leaving());
+			if (!excluded) {
 				routable.add(link.instance());
 			}
 		});
-		this.members = new Members(routable, List.copyOf(wanted.values()));
+		this.members = new Members(routable, List.copyOf(linkTargets.values()));
 		return this.members;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/membership/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which instances may get work: the platform's lagging list, corrected by what the links
- * to the instances say.
+ * Determines which instances may get work, by combining the platform's delayed instance
+ * list with the state of the links to the instances.
  */
 package org.ragworthook.core.membership;
--- a/modules/core/src/test/java/org/ragworthook/core/membership/MembershipTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/membership/MembershipTests.java
@@ -32,7 +32,7 @@
 		return this.membership.members().routable();
 	}
 
-	private List<Instance> wanted() {
+	private List<Instance> linkTargets() {
 		return this.membership.members().linkTargets();
 	}
 
@@ -41,16 +41,16 @@
 		this.membership.instancesListed(List.of(this.first, this.second));
 		this.membership.linkOpened(this.first, "run-1", false);
 		assertThat(routable()).containsExactly(this.first);
-		assertThat(wanted()).containsExactly(this.first, this.second);
+		assertThat(linkTargets()).containsExactly(this.first, this.second);
 	}
 
 	/**
-	 * A sidecar is told to stop and says so, while the list goes on showing it as live
-	 * and drops it and shows it again. Work sent to it now would fail when it exits.
+	 * A sidecar announces that it is draining, while the list still shows it as live,
+	 * drops it and lists it again. Work sent to it would fail when it exits.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 1, 5 })
-	void shouldNotReadmitRunThatSaidItLeaves(int flaps) {
+	void shouldNotReadmitDrainingRun(int flaps) {
 		this.membership.instancesListed(List.of(this.first));
 		this.membership.linkOpened(this.first, "run-1", false);
 		this.membership.drainAnnounced(this.first.link(), "run-1");
@@ -66,20 +66,20 @@
 	}
 
 	/**
-	 * The list loses an instance for a while, or all of them, though they serve. Dropping
-	 * them would turn a fault of the list into an outage.
+	 * The list temporarily omits instances that are still serving. Dropping them would
+	 * turn a fault of the list into an outage.
 	 */
 	@Test
-	void shouldKeepLinkedInstanceThatListLost() {
+	void shouldKeepLinkedInstanceThatIsNotListed() {
 		this.membership.instancesListed(List.of(this.first));
 		this.membership.linkOpened(this.first, "run-1", false);
 		this.membership.instancesListed(List.of());
 		assertThat(routable()).containsExactly(this.first);
-		assertThat(wanted()).containsExactly(this.first);
+		assertThat(linkTargets()).containsExactly(this.first);
 	}
 
 	/**
-	 * An instance is lost without a word, and the list goes on showing it for minutes.
+	 * An instance disappears without notice, and the list shows it for minutes.
 	 */
 	@Test
 	void shouldNotRouteOverLostLink() {
@@ -87,45 +87,45 @@
 		this.membership.linkOpened(this.first, "run-1", false);
 		this.membership.linkLost(this.first.link());
 		assertThat(routable()).isEmpty();
-		assertThat(wanted()).containsExactly(this.first);
+		assertThat(linkTargets()).containsExactly(this.first);
 		this.membership.linkOpened(this.first, "run-1", false);
 		assertThat(routable()).containsExactly(this.first);
 	}
 
 	@Test
-	void shouldForgetLostInstanceOnceUnlisted() {
+	void shouldRemoveDisconnectedInstanceOnceUnlisted() {
 		this.membership.instancesListed(List.of(this.first));
 		this.membership.linkOpened(this.first, "run-1", false);
 		this.membership.linkLost(this.first.link());
 		this.membership.instancesListed(List.of());
-		assertThat(wanted()).isEmpty();
+		assertThat(linkTargets()).isEmpty();
 	}
 
 	@Test
-	void shouldNotRouteToInstanceThatListShowsAsLeaving() {
+	void shouldNotRouteToInstanceListedAsLeaving() {
 		this.membership.linkOpened(this.first, "run-1", false);
 		this.membership.instancesListed(List.of(instance("first", 7_001, true)));
 		assertThat(routable()).isEmpty();
 	}
 
 	@Test
-	void shouldNotRouteToRunThatGreetsAsLeaving() {
+	void shouldNotRouteToRunThatConnectsAsDraining() {
 		this.membership.instancesListed(List.of(this.first));
 		this.membership.linkOpened(this.first, "run-1", true);
 		assertThat(routable()).isEmpty();
 	}
 
 	/**
-	 * A process is replaced by its next run at the same address, which the list does not
-	 * tell apart. The new run must get work although the old one said that it leaves.
+	 * A process is replaced by a new one at the same address, which the list does not
+	 * distinguish. The new process must get work although the old one was draining.
 	 */
 	@Test
-	void shouldRouteToNextRunAtSameAddress() {
+	void shouldRouteToNewRunAtSameAddress() {
 		this.membership.instancesListed(List.of(this.first));
 		this.membership.linkOpened(this.first, "run-1", false);
 		this.membership.drainAnnounced(this.first.link(), "run-1");
 		this.membership.linkLost(this.first.link());
-		assertThat(wanted()).containsExactly(this.first);
+		assertThat(linkTargets()).containsExactly(this.first);
 		this.membership.linkOpened(this.first, "run-2", false);
 		assertThat(routable()).containsExactly(this.first);
 	}
