--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/CrashRecord.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/CrashRecord.java
@@ -3,26 +3,26 @@
 import java.util.Objects;
 
 /**
- * What is known of a request that crashed upstreams with nothing beside it.
+ * The crashes caused by a request that was alone at the upstream.
  *
- * @param fingerprint the same for requests that are the same
- * @param crashes how many upstreams it crashed
- * @param expiryMillis until when this counts, as Unix time in milliseconds
+ * @param fingerprint the fingerprint of the request, equal for identical requests
+ * @param crashes the number of upstreams that the request crashed
+ * @param expiryMillis when the record expires, in milliseconds since the Unix epoch
  */
 public record CrashRecord(String fingerprint, int crashes, long expiryMillis) {
 
 	/**
-	 * Checks the fingerprint.
+	 * Checks that the fingerprint is present.
 	 */
 	public CrashRecord {
 		Objects.requireNonNull(fingerprint, "fingerprint is null");
 	}
 
 	/**
-	 * Merges what two entries know. In whatever order and however often the same is
-	 * merged, the result is the same.
-	 * @param other what is known elsewhere of the same request
-	 * @return the larger number of crashes and the later time
+	 * Merges the records of two entries. The operation is commutative, associative and
+	 * idempotent, so the result does not depend on the order or number of merges.
+	 * @param other another entry's record of the same request
+	 * @return a record with the larger number of crashes and the later expiry
 	 */
 	public CrashRecord merge(CrashRecord other) {
 		if (!this.fingerprint.equals(other.fingerprint)) {
--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/Quarantine.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/Quarantine.java
@@ -10,151 +10,160 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Finds requests that crash upstreams.
+ * Detects requests that crash upstreams.
  * <p>
- * A single request can crash each upstream that runs it, and its caller sends it again;
- * one notices by one upstream after another going down. All that was at a crashed
- * upstream is suspect, though at most one of them is to blame. A suspect therefore runs
- * with nothing beside it. If it is answered it is cleared; if the upstream crashes, that
- * crash is its own, and after two of its own it is refused everywhere. A crash in company
- * never counts, so that nobody is refused for having been beside such a request.
+ * A single request can crash every upstream that runs it, and its caller keeps resending
+ * it, so that upstreams go down one after another. Every request in flight at a crashed
+ * upstream becomes a suspect, although at most one of them is the cause. A suspect runs
+ * alone: if it is answered, it is cleared; if the upstream crashes again, the crash is
+ * attributed to it, and after two attributed crashes the request is refused by all
+ * entries. A crash with several requests in flight is never attributed to any of them, so
+ * that no harmless request is refused.
  * <p>
- * Safe for several threads; reading takes no lock.
+ * Thread-safe; reads do not lock.
  */
 public final class Quarantine {
 
-	private static final int CRASHES = 2;
+	private static final int CRASHES_TO_QUARANTINE = 2;
 
 	private final InstantSource clock;
 
-	private final Duration suspicion;
+	private final Duration suspectDuration;
 
-	private final Duration length;
+	private final Duration quarantineDuration;
 
 	private final int capacity;
 
 	private final Map<String, CrashRecord> records = new ConcurrentHashMap<>();
 
-	private Quarantine(InstantSource clock, Duration suspicion, Duration length, int capacity) {
+	private Quarantine(InstantSource clock, Duration suspectDuration, Duration quarantineDuration, int capacity) {
 		this.clock = Objects.requireNonNull(clock, "clock is null");
-		this.suspicion = Objects.requireNonNull(suspicion, "suspicion is null");
-		this.length = Objects.requireNonNull(length, "length is null");
+		this.suspectDuration = Objects.requireNonNull(suspectDuration, "suspectDuration is null");
+		this.quarantineDuration = Objects.requireNonNull(quarantineDuration, "quarantineDuration is null");
 		this.capacity = capacity;
 	}
 
 	/**
-	 * Returns a quarantine that knows of nothing.
-	 * @param clock the wall time, which entries share roughly
-	 * @param suspicion how long a suspect stays one without being run
-	 * @param length how long a conviction lasts
-	 * @param capacity how many requests are remembered at most
+	 * Returns an empty quarantine.
+	 * @param clock the wall clock, roughly synchronized between entries
+	 * @param suspectDuration how long a request stays a suspect without being run
+	 * @param quarantineDuration how long a request stays quarantined
+	 * @param capacity the maximum number of requests to remember
 	 * @return a new quarantine
 	 */
-	public static Quarantine of(InstantSource clock, Duration suspicion, Duration length, int capacity) {
-		return new Quarantine(clock, suspicion, length, capacity);
+	public static Quarantine of(InstantSource clock, Duration suspectDuration, Duration quarantineDuration,
+			int capacity) {
+		return new Quarantine(clock, suspectDuration, quarantineDuration, capacity);
 	}
 
 	/**
-	 * Tells what may be done with a request.
-	 * @param fingerprint the request's fingerprint
-	 * @return its standing
+	 * Returns how to treat a request.
+	 * @param fingerprint the fingerprint of the request
+	 * @return the state of the request
 	 */
 	public QuarantineState state(String fingerprint) {
-		CrashRecord known = this.records.get(Objects.requireNonNull(fingerprint, "fingerprint is null"));
-		if (known == null || known.expiryMillis() <= this.clock.millis()) {
+		CrashRecord record = this.records.get(Objects.requireNonNull(fingerprint, "fingerprint is null"));
+		if (record == null || record.expiryMillis() <= this.clock.millis()) {
 			return QuarantineState.CLEAR;
 		}
-		return (known.crashes() >= CRASHES) ? QuarantineState.QUARANTINED : QuarantineState.SUSPECT;
+		return (record.crashes() >= CRASHES_TO_QUARANTINE) ? QuarantineState.QUARANTINED : QuarantineState.SUSPECT;
 	}
 
 	/**
-	 * Returns how long a request stays in quarantine.
-	 * @param fingerprint the request's fingerprint
-	 * @return the time left, or empty if it is not convicted
+	 * Returns how long a request stays quarantined.
+	 * @param fingerprint the fingerprint of the request
+	 * @return the remaining time, at least one millisecond, or empty if the request is
+	 * not quarantined
 	 */
 	public Optional<Duration> remaining(String fingerprint) {
 		if (state(fingerprint) != QuarantineState.QUARANTINED) {
 			return Optional.empty();
 		}
 		return Optional.ofNullable(this.records.get(fingerprint))
-			.map((known) -> Duration.ofMillis(Math.max(1, known.expiryMillis() - this.clock.millis())));
+			.map((record) -> Duration.ofMillis(Math.max(1, record.expiryMillis() - this.clock.millis())));
 	}
 
 	/**
-	 * Learns that an upstream crashed with a request in flight.
-	 * @param fingerprint the request's fingerprint
-	 * @param inFlight how many requests were in flight at the upstream, this one included
-	 * @return what the other entries are to be told, if this was the request's own crash
+	 * Called when an upstream has crashed with a request in flight.
+	 * @param fingerprint the fingerprint of the request
+	 * @param inFlight the number of requests in flight at the upstream, including this
+	 * one
+	 * @return the record to send to the other entries, if the crash is attributed to the
+	 * request
 	 */
 	public Optional<CrashRecord> recordCrash(String fingerprint, int inFlight) {
-		boolean own = inFlight == 1;
+		boolean attributed = inFlight == 1;
 		long now = this.clock.millis();
-		CrashRecord after = this.records.compute(fingerprint, (key, old) -> {
-			int before = (old != null && old.expiryMillis() > now) ? old.crashes() : 0;
-			int crashes = before + ((own) ? 1 : 0);
-			Duration lasts = (crashes >= CRASHES) ? this.length : this.suspicion;
-			long until = Math.max(now + lasts.toMillis(), (before > 0) ? old.expiryMillis() : 0);
-			return new CrashRecord(key, crashes, until);
+		CrashRecord updated = this.records.compute(fingerprint, (key, old) -> {
+			int previousCrashes = (old != null && old.expiryMillis() > now) ? old.crashes() : 0;
+			int crashes = previousCrashes + ((attributed) ? 1 : 0);
+			Duration duration = (crashes >= CRASHES_TO_QUARANTINE) ? this.quarantineDuration : this.suspectDuration;
+			long expiryMillis = Math.max(now + duration.toMillis(), (previousCrashes > 0) ? old.expiryMillis() : 0);
+			return new CrashRecord(key, crashes, expiryMillis);
 		});
-		bound();
-		return (own) ? Optional.of(after) : Optional.empty();
+		evictSurplus();
+		return (attributed) ? Optional.of(updated) : Optional.empty();
 	}
 
 	/**
-	 * Learns that a request was answered, which clears a suspect. A conviction stays: it
-	 * may be the answer of an attempt that was older.
-	 * @param fingerprint the request's fingerprint
+	 * Called when a request was answered. Clears a suspect. A quarantined request stays
+	 * quarantined, since the answer may belong to an earlier attempt.
+	 * @param fingerprint the fingerprint of the request
 	 */
 	public void recordAnswer(String fingerprint) {
 		if (this.records.containsKey(fingerprint)) {
-			this.records.computeIfPresent(fingerprint, (key, old) -> (old.crashes() >= CRASHES) ? old : null);
+			this.records.computeIfPresent(fingerprint,
+					(key, old) -> (old.crashes() >= CRASHES_TO_QUARANTINE) ? old : null);
 		}
 	}
 
 	/**
-	 * Takes in what another entry knows.
-	 * @param conviction what it knows
-	 * @return whether this was news, to be told to others
+	 * Merges a record received from another entry.
+	 * @param received the record
+	 * @return whether the record changed the local state and should be forwarded to other
+	 * entries
 	 */
-	public boolean merge(CrashRecord conviction) {
-		Objects.requireNonNull(conviction, "conviction is null");
-		if (conviction.expiryMillis() <= this.clock.millis()) {
+	public boolean merge(CrashRecord received) {
+		Objects.requireNonNull(received, "received is null");
+		if (received.expiryMillis() <= this.clock.millis()) {
 			return false;
 		}
-		CrashRecord before = this.records.get(conviction.fingerprint());
-		CrashRecord after = this.records.merge(conviction.fingerprint(), conviction, CrashRecord::merge);
-		bound();
-		return !after.equals(before);
+		CrashRecord previous = this.records.get(received.fingerprint());
+		CrashRecord updated = this.records.merge(received.fingerprint(), received, CrashRecord::merge);
+		evictSurplus();
+		return !updated.equals(previous);
 	}
 
 	/**
-	 * Returns what an entry that has just come is to be told.
-	 * @return every conviction that still counts
+	 * Returns the quarantined requests, for example to send them to a newly connected
+	 * entry.
+	 * @return the records that have not expired
 	 */
 	public List<CrashRecord> quarantined() {
 		long now = this.clock.millis();
 		return this.records.values()
 			.stream()
-			.filter((known) -> known.crashes() >= CRASHES && known.expiryMillis() > now)
+			.filter((record) -> record.crashes() >= CRASHES_TO_QUARANTINE && record.expiryMillis() > now)
 			.toList();
 	}
 
 	/**
-	 * Returns how many requests are remembered.
-	 * @return the number, never much above the capacity
+	 * Returns the number of remembered requests.
+	 * @return the number, which exceeds the capacity only briefly
 	 */
 	public int size() {
 		return this.records.size();
 	}
 
-	// A caller that sends ever new crashing requests must not fill the memory: what has
-	// lapsed goes first, then those that crashed least and lapse first.
-	private void bound() {
+	// Bounds memory against a caller that keeps sending new crashing requests. Evicts
+	// expired records first, then those with the fewest crashes and the earliest
+	// expiry.
+	private void evictSurplus() {
 		if (this.records.size() <= this.capacity) {
 			return;
 		}
 		long now = this.clock.millis();
-		this.records.values().removeIf((known) -> known.expiryMillis() <= now);
+		this.records.values().removeIf((record) -> record.expiryMillis() <= now);
 		int surplus = this.records.size() - this.capacity;
 		if (surplus > 0) {
 			this.records.values()
@@ -162,7 +171,7 @@
 				.sorted(Comparator.comparingInt(CrashRecord::crashes).thenComparingLong(CrashRecord::expiryMillis))
 				.limit(surplus + this.capacity / 10L)
 				.toList()
-				.forEach((known) -> this.records.remove(known.fingerprint(), known));
+				.forEach((record) -> this.records.remove(record.fingerprint(), record));
 		}
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/QuarantineState.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/QuarantineState.java
@@ -1,17 +1,17 @@
 package org.ragworthook.core.quarantine;
 
 /**
- * What may be done with a request.
+ * How a request is treated with regard to crashes.
  */
 public enum QuarantineState {
 
-	/** It may run beside others. */
+	/** The request may run concurrently with others. */
 	CLEAR,
 
-	/** It was at an upstream that crashed: it must run alone. */
+	/** The request was in flight at an upstream that crashed, and must run alone. */
 	SUSPECT,
 
-	/** It crashes upstreams: it is refused. */
+	/** The request crashes upstreams and is refused. */
 	QUARANTINED
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/quarantine/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Finds the requests that crash upstreams, without blaming those that merely ran beside
- * them.
+ * Detects requests that crash upstreams and quarantines them, without affecting requests
+ * that were only in flight at the same time.
  */
 package org.ragworthook.core.quarantine;
--- a/modules/core/src/test/java/org/ragworthook/core/quarantine/QuarantineTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/quarantine/QuarantineTests.java
@@ -28,16 +28,17 @@
 	}
 
 	/**
-	 * One request crashes each engine that runs it, and the requests beside it fall with
-	 * it. Only the one may be refused; the others must be answered.
+	 * One request crashes every engine that runs it, inFlight with the requests in flight
+	 * beside it. Only that request may be quarantined; the others must be cleared by
+	 * their answers.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 2, 8, 40 })
-	void shouldConvictOnlyCulprit(int together) {
-		for (int i = 0; i < together; i++) {
-			this.quarantine.recordCrash("request-" + i, together);
+	void shouldQuarantineOnlyRequestThatCrashesUpstreams(int inFlight) {
+		for (int i = 0; i < inFlight; i++) {
+			this.quarantine.recordCrash("request-" + i, inFlight);
 		}
-		for (int i = 1; i < together; i++) {
+		for (int i = 1; i < inFlight; i++) {
 			assertThat(this.quarantine.state("request-" + i)).isEqualTo(QuarantineState.SUSPECT);
 			this.quarantine.recordAnswer("request-" + i);
 			assertThat(this.quarantine.state("request-" + i)).isEqualTo(QuarantineState.CLEAR);
@@ -49,19 +50,19 @@
 	}
 
 	/**
-	 * A request has the bad luck to be beside ever other requests that crash their
-	 * engines. It must not be refused for that.
+	 * A harmless request is repeatedly in flight beside requests that crash their
+	 * engines. It must not be quarantined for these crashes.
 	 */
 	@Test
-	void shouldNeverConvictForCrashesInCompany() {
+	void shouldNotQuarantineForCrashesWithOthersInFlight() {
 		for (int i = 0; i < 50; i++) {
-			assertThat(this.quarantine.recordCrash("unlucky", 2 + i)).isEqualTo(Optional.empty());
+			assertThat(this.quarantine.recordCrash("harmless", 2 + i)).isEqualTo(Optional.empty());
 		}
-		assertThat(this.quarantine.state("unlucky")).isEqualTo(QuarantineState.SUSPECT);
+		assertThat(this.quarantine.state("harmless")).isEqualTo(QuarantineState.SUSPECT);
 	}
 
 	@Test
-	void shouldLetGoAfterItsTime() {
+	void shouldExpireAfterQuarantineDuration() {
 		this.quarantine.recordCrash("bad", 1);
 		this.quarantine.recordCrash("bad", 1);
 		assertThat(this.quarantine.remaining("bad")).isEqualTo(Optional.of(Duration.ofMinutes(10)));
@@ -72,50 +73,49 @@
 	}
 
 	/**
-	 * The caller sends the request again to another entry, which has not seen the
+	 * The caller resends the request to another entry, which has not observed the
 	 * crashes. It must be refused there too.
 	 */
 	@Test
-	void shouldRefuseWhatAnotherEntryConvicted() {
+	void shouldQuarantineRequestReportedByAnotherEntry() {
 		Quarantine other = quarantine(100);
 		this.quarantine.recordCrash("bad", 1);
-		CrashRecord conviction = this.quarantine.recordCrash("bad", 1).orElseThrow();
-		assertThat(other.merge(conviction)).isTrue();
-		assertThat(other.merge(conviction)).isFalse();
+		CrashRecord record = this.quarantine.recordCrash("bad", 1).orElseThrow();
+		assertThat(other.merge(record)).isTrue();
+		assertThat(other.merge(record)).isFalse();
 		assertThat(other.state("bad")).isEqualTo(QuarantineState.QUARANTINED);
-		assertThat(this.quarantine.quarantined()).containsExactly(conviction);
+		assertThat(this.quarantine.quarantined()).containsExactly(record);
 	}
 
 	/**
-	 * Entries tell each other what they know in any order, and tell it again after a link
-	 * was lost. All must come to the same end, else a request refused at one entry would
-	 * crash engines by way of another.
+	 * Entries exchange records in any order and repeat them after a lost link. If they
+	 * did not converge, a request refused at one entry could crash engines through
+	 * another.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
-	void shouldMergeToSameInAnyOrder(long seed) {
+	void shouldConvergeForAnyMergeOrder(long seed) {
 		Random random = new Random(seed);
-		List<CrashRecord> news = new ArrayList<>();
+		List<CrashRecord> records = new ArrayList<>();
 		for (int i = 0; i < 60; i++) {
-			news.add(new CrashRecord("request-" + random.nextInt(9), 1 + random.nextInt(3),
+			records.add(new CrashRecord("request-" + random.nextInt(9), 1 + random.nextInt(3),
 					this.now.toEpochMilli() + 1 + random.nextInt(9_000)));
 		}
 		Quarantine one = quarantine(100);
-		news.forEach(one::merge);
-		Collections.shuffle(news, random);
+		records.forEach(one::merge);
+		Collections.shuffle(records, random);
 		Quarantine two = quarantine(100);
-		news.forEach(two::merge);
-		news.forEach(two::merge);
+		records.forEach(two::merge);
+		records.forEach(two::merge);
 		assertThat(two.quarantined()).containsExactlyElementsIn(one.quarantined());
 	}
 
 	/**
-	 * A caller sends ever new requests that crash engines. What is remembered of them
-	 * must not fill the entry's memory, and what is convicted must not be pushed out by
-	 * suspects.
+	 * A caller keeps sending new requests that crash engines. The records must not fill
+	 * the entry's memory, and suspects must not evict quarantined requests.
 	 */
 	@Test
-	void shouldStayBounded() {
+	void shouldNotExceedCapacity() {
 		this.quarantine.recordCrash("bad", 1);
 		this.quarantine.recordCrash("bad", 1);
 		for (int i = 0; i < 5_000; i++) {
