--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Demand.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/Demand.java
@@ -8,35 +8,37 @@
 import org.ragworthook.core.contract.Model;
 
 /**
- * How many replicas of a model its online requests need. It asks for more when those that
- * hold the model are nearly full, and never for fewer: a replica that nobody needs costs
- * nothing until another model wants its room, while unloading one too many costs a load
- * from the weight store when the next burst comes.
+ * Estimates how many replicas of a model its online requests need. The estimate exceeds
+ * the current number of replicas when the upstreams with the model are nearly at their
+ * limit, and is never below it: an unused replica costs nothing until another model needs
+ * its place, while an unloaded one has to be loaded from the weight store again for the
+ * next burst.
  */
 public final class Demand implements ToIntFunction<Model> {
 
-	private static final double FULL = 0.7;
+	private static final double TARGET_UTILIZATION = 0.7;
 
-	private final Map<String, Sum> byModel = new HashMap<>();
+	private final Map<String, Totals> byModel = new HashMap<>();
 
 	private Demand() {
 	}
 
 	/**
-	 * Adds up what is reported.
+	 * Aggregates the reported usage by model.
 	 * @param observed the upstreams
-	 * @param usage what each reported, by upstream; one that reported nothing counts as
-	 * idle
-	 * @return the demand of each model
+	 * @param usage the reported usage by upstream id; an upstream without a report counts
+	 * as idle
+	 * @return the demand of all models
 	 */
 	public static Demand of(List<UpstreamView> observed, Map<String, UpstreamUsage> usage) {
 		Demand demand = new Demand();
 		for (UpstreamView view : observed) {
-			UpstreamUsage own = usage.getOrDefault(view.id(), new UpstreamUsage(0, 0));
-			for (String held : view.loaded()) {
-				int at = held.indexOf('@');
-				if (at >= 0) {
-					demand.byModel.merge(held.substring(0, at), new Sum(1, own.busy(), own.limit()), Sum::plus);
+			UpstreamUsage reported = usage.getOrDefault(view.id(), new UpstreamUsage(0, 0));
+			for (String subject : view.loaded()) {
+				int separator = subject.indexOf('@');
+				if (separator >= 0) {
+					demand.byModel.merge(subject.substring(0, separator),
+							new Totals(1, reported.busy(), reported.limit()), Totals::plus);
 				}
 			}
 		}
@@ -45,18 +47,18 @@
 
 	@Override
 	public int applyAsInt(Model model) {
-		Sum sum = this.byModel.getOrDefault(model.name(), new Sum(0, 0, 0));
-		if (sum.limit() == 0) {
-			return sum.replicas();
+		Totals totals = this.byModel.getOrDefault(model.name(), new Totals(0, 0, 0));
+		if (totals.limit() == 0) {
+			return totals.replicas();
 		}
-		double perReplica = FULL * sum.limit() / sum.replicas();
-		return Math.max(sum.replicas(), (int) Math.ceil(sum.busy() / perReplica));
+		double capacityPerReplica = TARGET_UTILIZATION * totals.limit() / totals.replicas();
+		return Math.max(totals.replicas(), (int) Math.ceil(totals.busy() / capacityPerReplica));
 	}
 
-	private record Sum(int replicas, int busy, int limit) {
+	private record Totals(int replicas, int busy, int limit) {
 
-		Sum plus(Sum other) {
-			return new Sum(this.replicas + other.replicas, this.busy + other.busy, this.limit + other.limit);
+		Totals plus(Totals other) {
+			return new Totals(this.replicas + other.replicas, this.busy + other.busy, this.limit + other.limit);
 		}
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/ModelPlan.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/ModelPlan.java
@@ -15,20 +15,20 @@
 import org.ragworthook.core.contract.Model;
 
 /**
- * What one model needs: replicas first, then their spread, then adapters and its version,
- * then balance.
+ * Computes the steps that one model needs, in this order: missing replicas, their spread
+ * over failure domains, adapters, the roll-out of its version, and balance.
  */
 final class ModelPlan {
 
-	private static final int LOOK_AHEAD = 4;
+	private static final int PLANNED_LOADS_FACTOR = 4;
 
 	private final Model model;
 
-	private final PlacementPool room;
+	private final PlacementPool candidates;
 
 	private final StepLimits limits;
 
-	private final StepTracker memory;
+	private final StepTracker tracker;
 
 	private final long now;
 
@@ -42,18 +42,18 @@
 
 	private int replicas;
 
-	ModelPlan(Model model, List<UpstreamView> holders, Collection<Step> loading, PlacementPool room, StepLimits limits,
-			StepTracker memory, long now) {
+	ModelPlan(Model model, List<UpstreamView> holders, Collection<Step> loading, PlacementPool candidates,
+			StepLimits limits, StepTracker tracker, long now) {
 		this.model = model;
-		this.room = room;
+		this.candidates = candidates;
 		this.limits = limits;
-		this.memory = memory;
+		this.tracker = tracker;
 		this.now = now;
-		room.domains().forEach((domain) -> this.byDomain.put(domain, 0));
+		candidates.domains().forEach((domain) -> this.byDomain.put(domain, 0));
 		Set<String> busy = loading.stream().map(Step::upstream).collect(Collectors.toSet());
 		loading.forEach((step) -> count(step.failureDomain()));
-		holders.stream().filter((view) -> !busy.contains(view.id())).forEach(this::sort);
-		this.version = versionToHold();
+		holders.stream().filter((view) -> !busy.contains(view.id())).forEach(this::classify);
+		this.version = targetVersion();
 	}
 
 	private void count(String domain) {
@@ -61,17 +61,17 @@
 		this.byDomain.merge(domain, 1, Integer::sum);
 	}
 
-	private void sort(UpstreamView view) {
+	private void classify(UpstreamView view) {
 		count(view.failureDomain());
 		boolean holdsCurrent = view.loaded().contains(this.model.id());
 		(holdsCurrent ? this.current : this.outdated).add(view);
 	}
 
-	void add(int target, List<Step> steps) {
+	void addSteps(int target, List<Step> steps) {
 		int missing = target - this.replicas;
-		// No more can begin now; looking for all at once would take a large fleet
-		// seconds.
-		for (int index = 0; index < Math.min(missing, LOOK_AHEAD * this.limits.concurrentLoads()); index++) {
+		// No more loads can start now; planning all missing replicas of a large fleet
+		// would take seconds.
+		for (int index = 0; index < Math.min(missing, PLANNED_LOADS_FACTOR * this.limits.concurrentLoads()); index++) {
 			boolean below = this.replicas < this.model.replicas().min();
 			load(below ? Step.Priority.RESTORE : Step.Priority.BALANCE, steps);
 		}
@@ -96,13 +96,14 @@
 
 	private Optional<UpstreamView> candidate(Predicate<String> domains) {
 		String subject = this.model.name() + "@" + this.version;
-		return this.room.take(domains, this.byDomain, (view) -> view.version(this.model.name()).isEmpty()
-				&& !this.memory.backingOff(view.id(), subject, this.now));
+		return this.candidates.take(domains, this.byDomain, (view) -> view.version(this.model.name()).isEmpty()
+				&& !this.tracker.backingOff(view.id(), subject, this.now));
 	}
 
 	private void spread(List<Step> steps) {
 		long covered = this.byDomain.values().stream().filter((count) -> count > 0).count();
-		for (long lacking = this.model.replicas().failureDomains() - covered; lacking > 0; lacking--) {
+		for (long missingDomains = this.model.replicas().failureDomains()
+				- covered; missingDomains > 0; missingDomains--) {
 			candidate((domain) -> this.byDomain.getOrDefault(domain, 0) == 0)
 				.ifPresent((view) -> load(view, Step.Priority.SPREAD, steps));
 		}
@@ -120,34 +121,33 @@
 
 	// -- versions
 
-	// A version that fails to load on several upstreams would fail on the others too, and
-	// each of them is out while it tries. The roll-out then stops, and the upstreams that
-	// have it go back to the version that most of the others hold. Until then the
-	// upstreams
-	// that have not failed yet go first, or one bad upstream would look like a bad
-	// version.
+	// A version that fails to load on several upstreams would probably fail on the
+	// others too, and each upstream is out of service while it tries. The roll-out then
+	// stops, and the upstreams that have the version return to the one that most of the
+	// others hold. Before that point, upstreams without failures go first; otherwise a
+	// single faulty upstream would look like a faulty version.
 	private void rollOut(List<Step> steps) {
 		String subject = this.model.name() + "@" + this.version;
 		List<UpstreamView> from = this.version.equals(this.model.version()) ? this.outdated : this.current;
-		long under = this.memory.running()
+		long underWay = this.tracker.running()
 			.stream()
 			.filter((step) -> step.priority() == Step.Priority.ROLL_OUT && step.model().equals(this.model.name()))
 			.count();
 		from.stream()
-			.filter((view) -> !this.memory.busy(view.id()))
-			.filter((view) -> !this.memory.backingOff(view.id(), subject, this.now))
-			.sorted(Comparator.comparingInt((UpstreamView view) -> this.memory.failures(view.id(), subject))
+			.filter((view) -> !this.tracker.busy(view.id()))
+			.filter((view) -> !this.tracker.backingOff(view.id(), subject, this.now))
+			.sorted(Comparator.comparingInt((UpstreamView view) -> this.tracker.failures(view.id(), subject))
 				.thenComparing(UpstreamView::id))
-			.limit(Math.max(0, this.limits.concurrentRollOuts() - under))
+			.limit(Math.max(0, this.limits.concurrentRollOuts() - underWay))
 			.forEach((view) -> steps.add(step(Step.Kind.LOAD_MODEL, Step.Priority.ROLL_OUT, view, this.version)));
 	}
 
-	private String versionToHold() {
-		boolean back = this.memory.widespread(this.model.id()) && !this.outdated.isEmpty();
-		return back ? mostHeld() : this.model.version();
+	private String targetVersion() {
+		boolean rollBack = this.tracker.widespread(this.model.id()) && !this.outdated.isEmpty();
+		return rollBack ? mostCommonVersion() : this.model.version();
 	}
 
-	private String mostHeld() {
+	private String mostCommonVersion() {
 		return this.outdated.stream()
 			.map((view) -> view.version(this.model.name()).orElseThrow())
 			.collect(Collectors.groupingBy(Function.identity(), Collectors.counting()))
@@ -160,19 +160,19 @@
 
 	// -- balance
 
-	// A move costs a load from the weight store and a cold prefix cache, so small
-	// differences are left alone; without the threshold replicas wander with every
-	// restart.
+	// Moving a replica costs a load from the weight store and a cold prefix cache, so
+	// small imbalances are tolerated. Without the threshold, replicas would be moved
+	// after every restart.
 	private void balance(int target, List<Step> steps) {
-		int most = this.byDomain.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-		int least = this.byDomain.values().stream().mapToInt(Integer::intValue).min().orElse(0);
-		boolean uneven = most - least > Math.max(1, this.limits.rebalanceThreshold());
+		int highest = this.byDomain.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+		int lowest = this.byDomain.values().stream().mapToInt(Integer::intValue).min().orElse(0);
+		boolean uneven = highest - lowest > Math.max(1, this.limits.rebalanceThreshold());
 		if (this.replicas > this.model.replicas().max() || this.replicas - target > this.limits.rebalanceThreshold()
 				|| (uneven && this.replicas > target)) {
 			unload(steps);
 		}
 		else if (uneven) {
-			int fewest = least;
+			int fewest = lowest;
 			candidate((domain) -> this.byDomain.getOrDefault(domain, 0) == fewest)
 				.ifPresent((view) -> load(view, Step.Priority.BALANCE, steps));
 		}
@@ -180,7 +180,7 @@
 
 	private void unload(List<Step> steps) {
 		this.current.stream()
-			.filter((view) -> !this.memory.busy(view.id()))
+			.filter((view) -> !this.tracker.busy(view.id()))
 			.max(Comparator.comparingInt((UpstreamView view) -> this.byDomain.get(view.failureDomain()))
 				.thenComparing(UpstreamView::id))
 			.ifPresent(
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/PlacementPool.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/PlacementPool.java
@@ -11,18 +11,18 @@
 import java.util.function.Predicate;
 
 /**
- * The upstreams of a service that have room for another model, by failure domain. One
- * that was taken for a model is not offered for the next.
+ * The upstreams of a service that have room for another model, by failure domain. An
+ * upstream taken for one model is not available for the next.
  */
 final class PlacementPool {
 
 	private final Map<String, List<UpstreamView>> byDomain = new TreeMap<>();
 
-	PlacementPool(List<UpstreamView> upstreams, StepLimits limits, StepTracker memory) {
+	PlacementPool(List<UpstreamView> upstreams, StepLimits limits, StepTracker tracker) {
 		for (UpstreamView view : upstreams) {
 			List<UpstreamView> domain = this.byDomain.computeIfAbsent(view.failureDomain(),
 					(name) -> new LinkedList<>());
-			if (view.models() < limits.modelsPerUpstream() && !memory.busy(view.id())) {
+			if (view.models() < limits.modelsPerUpstream() && !tracker.busy(view.id())) {
 				domain.add(view);
 			}
 		}
@@ -36,11 +36,12 @@
 	}
 
 	/**
-	 * Takes an upstream in the failure domain with the fewest replicas that has one.
-	 * @param domains which failure domains will do
-	 * @param replicas replicas by failure domain
-	 * @param fits which upstreams will do
-	 * @return the upstream, or empty if there is none
+	 * Removes and returns a matching upstream, preferring failure domains with few
+	 * replicas.
+	 * @param domains selects the eligible failure domains
+	 * @param replicas the number of replicas by failure domain
+	 * @param fits selects the eligible upstreams
+	 * @return the upstream, or empty if none matches
 	 */
 	Optional<UpstreamView> take(Predicate<String> domains, Map<String, Integer> replicas,
 			Predicate<UpstreamView> fits) {
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Reconciler.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/Reconciler.java
@@ -17,11 +17,11 @@
 import org.ragworthook.core.contract.ServiceType;
 
 /**
- * Compares what the text demands with what is observed and chooses the next steps.
+ * Compares the contract with the observed fleet and selects the next steps.
  * <p>
- * Each call starts from the observation anew and returns only what may begin now, so a
- * step that came to nothing, an upstream that was replaced or a text that changed halfway
- * needs no undoing. Steps under way are never interrupted.
+ * Each call is based only on the current observation and returns only steps that may
+ * start now, so a failed step, a replaced upstream or a contract that changed midway
+ * needs no rollback. Running steps are never interrupted.
  */
 public final class Reconciler {
 
@@ -36,9 +36,9 @@
 
 	/**
 	 * Returns a reconciler.
-	 * @param limits how much may change at once
-	 * @param demand how many replicas of a model its requests need; kept within the
-	 * text's bounds
+	 * @param limits limits for concurrent changes
+	 * @param demand the number of replicas that the requests of a model need; clamped to
+	 * the bounds in the contract
 	 * @return the reconciler
 	 */
 	public static Reconciler of(StepLimits limits, ToIntFunction<Model> demand) {
@@ -46,39 +46,39 @@
 	}
 
 	/**
-	 * Chooses the steps that may begin now.
-	 * @param contract the contract in force
-	 * @param observed the upstreams that can be reached and do not leave
-	 * @param memory what is under way and what failed
-	 * @param now the ticker's reading
-	 * @return the steps, the most urgent first, at most one an upstream
+	 * Selects the steps that may start now.
+	 * @param contract the current contract
+	 * @param observed the upstreams that are reachable and not draining
+	 * @param tracker the running and failed steps
+	 * @param now the ticker's reading, in nanoseconds
+	 * @return the steps, the most urgent first, at most one per upstream
 	 */
-	public List<Step> plan(Contract contract, List<UpstreamView> observed, StepTracker memory, long now) {
+	public List<Step> plan(Contract contract, List<UpstreamView> observed, StepTracker tracker, long now) {
 		Map<String, List<UpstreamView>> byService = new HashMap<>();
 		observed.forEach((view) -> byService.computeIfAbsent(view.service(), (service) -> new ArrayList<>()).add(view));
 		List<Step> wanted = new ArrayList<>();
 		for (Service service : contract.services()) {
 			if (service.type() == ServiceType.MODEL) {
 				List<UpstreamView> upstreams = byService.getOrDefault(service.name(), List.of());
-				wanted.addAll(wanted(service, upstreams, memory, now));
+				wanted.addAll(wanted(service, upstreams, tracker, now));
 			}
 		}
 		wanted.sort(Comparator.comparing(Step::priority));
-		return new StepThrottle(this.limits, memory, now).choose(wanted);
+		return new StepThrottle(this.limits, tracker, now).choose(wanted);
 	}
 
-	private List<Step> wanted(Service service, List<UpstreamView> upstreams, StepTracker memory, long now) {
+	private List<Step> wanted(Service service, List<UpstreamView> upstreams, StepTracker tracker, long now) {
 		List<Step> steps = new ArrayList<>();
 		Map<String, List<UpstreamView>> holders = holders(upstreams);
-		Map<String, List<Step>> loading = loading(memory);
-		PlacementPool room = new PlacementPool(upstreams, this.limits, memory);
+		Map<String, List<Step>> loading = loading(tracker);
+		PlacementPool candidates = new PlacementPool(upstreams, this.limits, tracker);
 		for (Model model : service.models()) {
 			new ModelPlan(model, holders.getOrDefault(model.name(), List.of()),
-					loading.getOrDefault(model.name(), List.of()), room, this.limits, memory, now)
-				.add(target(model), steps);
+					loading.getOrDefault(model.name(), List.of()), candidates, this.limits, tracker, now)
+				.addSteps(target(model), steps);
 		}
 		if (steps.stream().noneMatch((step) -> step.kind().isLoad())) {
-			tidy(service, upstreams, steps);
+			unloadUnused(service, upstreams, steps);
 		}
 		return steps;
 	}
@@ -86,18 +86,18 @@
 	private static Map<String, List<UpstreamView>> holders(List<UpstreamView> upstreams) {
 		Map<String, List<UpstreamView>> holders = new HashMap<>();
 		for (UpstreamView view : upstreams) {
-			for (String held : view.loaded()) {
-				int at = held.indexOf('@');
-				if (at >= 0) {
-					holders.computeIfAbsent(held.substring(0, at), (model) -> new ArrayList<>()).add(view);
+			for (String subject : view.loaded()) {
+				int separator = subject.indexOf('@');
+				if (separator >= 0) {
+					holders.computeIfAbsent(subject.substring(0, separator), (model) -> new ArrayList<>()).add(view);
 				}
 			}
 		}
 		return holders;
 	}
 
-	private static Map<String, List<Step>> loading(StepTracker memory) {
-		return memory.running()
+	private static Map<String, List<Step>> loading(StepTracker tracker) {
+		return tracker.running()
 			.stream()
 			.filter((step) -> step.kind() == Step.Kind.LOAD_MODEL)
 			.collect(Collectors.groupingBy(Step::model));
@@ -108,21 +108,22 @@
 		return Math.min(wanted, model.replicas().max());
 	}
 
-	// Only what no model of the service needs any more, and only when nothing is left to
-	// load: an unload that came first could take the last replica.
-	private static void tidy(Service service, List<UpstreamView> upstreams, List<Step> steps) {
+	// Unloads what no model of the service needs any more, and only when nothing is
+	// left to load: an earlier unload could remove the last replica.
+	private static void unloadUnused(Service service, List<UpstreamView> upstreams, List<Step> steps) {
 		Set<String> needed = new HashSet<>();
 		service.models().forEach((model) -> {
 			needed.add(model.name());
 			needed.addAll(model.adapters());
 		});
 		for (UpstreamView view : upstreams) {
-			for (String held : view.loaded()) {
-				int at = held.indexOf('@');
-				String name = (at < 0) ? held : held.substring(0, at);
+			for (String subject : view.loaded()) {
+				int separator = subject.indexOf('@');
+				String name = (separator < 0) ? subject : subject.substring(0, separator);
 				if (!needed.contains(name)) {
-					steps.add(new Step((at < 0) ? Step.Kind.UNLOAD_ADAPTER : Step.Kind.UNLOAD_MODEL, Step.Priority.TIDY,
-							view.id(), view.failureDomain(), name, (at < 0) ? held : held.substring(at + 1)));
+					steps.add(new Step((separator < 0) ? Step.Kind.UNLOAD_ADAPTER : Step.Kind.UNLOAD_MODEL,
+							Step.Priority.TIDY, view.id(), view.failureDomain(), name,
+							(separator < 0) ? subject : subject.substring(separator + 1)));
 				}
 			}
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Step.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/Step.java
@@ -3,19 +3,19 @@
 import java.util.Objects;
 
 /**
- * One small change of one upstream.
+ * One change to one upstream.
  *
  * @param kind what to do
- * @param priority why, and so how soon
- * @param upstream the sidecar's instance
- * @param failureDomain where the upstream stands
- * @param model the model's name
- * @param detail the model's version, or the adapter's name
+ * @param priority the reason, which determines the order
+ * @param upstream the instance id of the upstream's sidecar
+ * @param failureDomain the failure domain of the upstream
+ * @param model the name of the model
+ * @param detail the version of the model, or the name of the adapter
  */
 public record Step(Kind kind, Priority priority, String upstream, String failureDomain, String model, String detail) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public Step {
 		Objects.requireNonNull(kind, "kind is null");
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Returns what is loaded or unloaded, as upstreams report it.
+	 * Returns what is loaded or unloaded, in the notation of upstream reports.
 	 * @return {@code name@version} of a model, or an adapter's name
 	 */
 	public String subject() {
@@ -39,7 +39,7 @@
 	 */
 	public enum Kind {
 
-		/** Loads a model; another version of it is replaced. */
+		/** Loads a model, replacing another version of it. */
 		LOAD_MODEL("load-model", true, false),
 
 		/** Unloads a model. */
@@ -64,16 +64,16 @@
 		}
 
 		/**
-		 * Returns the verb of the order.
-		 * @return the verb on the link to the sidecar
+		 * Returns the verb of the order to the sidecar.
+		 * @return the verb
 		 */
 		public String verb() {
 			return this.verb;
 		}
 
 		/**
-		 * Tells whether this reads from the weight store.
-		 * @return whether something is loaded
+		 * Returns whether the step reads from the weight store.
+		 * @return whether it loads a model or adapter
 		 */
 		public boolean isLoad() {
 			return this.load;
@@ -82,26 +82,26 @@
 	}
 
 	/**
-	 * Why a step is due; the first is the most urgent.
+	 * The reason for a step, the most urgent first.
 	 */
 	public enum Priority {
 
-		/** Fewer replicas than the text demands. */
+		/** The model has fewer replicas than the contract requires. */
 		RESTORE,
 
-		/** Replicas stand in too few failure domains. */
+		/** The replicas are in too few failure domains. */
 		SPREAD,
 
-		/** An adapter is missing on a replica. */
+		/** A replica lacks an adapter. */
 		ADAPTER,
 
-		/** A replica holds another version. */
+		/** A replica has a version other than the target. */
 		ROLL_OUT,
 
-		/** Demand or balance asks for a replica. */
+		/** Demand or balance requires another replica. */
 		BALANCE,
 
-		/** Something is loaded that nobody needs. */
+		/** An upstream holds a model or adapter that is not needed. */
 		TIDY
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/StepFailure.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepFailure.java
@@ -3,18 +3,19 @@
 import java.util.Objects;
 
 /**
- * A step that fails again and again.
+ * A step that has failed repeatedly.
  *
- * @param upstream the upstream, or the empty text if it fails on several
- * @param subject what was to be loaded or unloaded
- * @param count how often it failed in a row
- * @param detail how it last failed
- * @param retryNanos when it is tried again, by the ticker of the process
+ * @param upstream the upstream id, or an empty string if the step fails on several
+ * upstreams
+ * @param subject the model or adapter to load or unload
+ * @param count the number of consecutive failures
+ * @param detail the last error
+ * @param retryNanos the ticker's reading at which the step is retried
  */
 public record StepFailure(String upstream, String subject, int count, String detail, long retryNanos) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public StepFailure {
 		Objects.requireNonNull(upstream, "upstream is null");
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/StepThrottle.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepThrottle.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 
 /**
- * Lets as many steps begin as the limits allow.
+ * Selects as many steps as the limits allow to start now.
  */
 final class StepThrottle {
 
 	private final StepLimits limits;
 
-	private final StepTracker memory;
+	private final StepTracker tracker;
 
 	private final long now;
 
-	private final Set<String> upstreams = new HashSet<>();
+	private final Set<String> busyUpstreams = new HashSet<>();
 
 	private final Map<String, Integer> byDomain = new HashMap<>();
 
@@ -26,16 +26,16 @@
 
 	private int loadsThisMinute;
 
-	StepThrottle(StepLimits limits, StepTracker memory, long now) {
+	StepThrottle(StepLimits limits, StepTracker tracker, long now) {
 		this.limits = limits;
-		this.memory = memory;
+		this.tracker = tracker;
 		this.now = now;
-		this.loadsThisMinute = memory.loadsInTheLastMinute(now);
-		memory.running().forEach(this::count);
+		this.loadsThisMinute = tracker.loadsInLastMinute(now);
+		tracker.running().forEach(this::count);
 	}
 
 	private void count(Step step) {
-		this.upstreams.add(step.upstream());
+		this.busyUpstreams.add(step.upstream());
 		this.byDomain.merge(step.failureDomain(), 1, Integer::sum);
 		this.loads += step.kind().isLoad() ? 1 : 0;
 	}
@@ -53,9 +53,9 @@
 	}
 
 	private boolean fits(Step step) {
-		if (this.upstreams.contains(step.upstream())
+		if (this.busyUpstreams.contains(step.upstream())
 				|| this.byDomain.getOrDefault(step.failureDomain(), 0) >= this.limits.stepsPerFailureDomain()
-				|| this.memory.backingOff(step.upstream(), step.subject(), this.now)) {
+				|| this.tracker.backingOff(step.upstream(), step.subject(), this.now)) {
 			return false;
 		}
 		return !step.kind().isLoad()
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/StepTracker.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepTracker.java
@@ -12,92 +12,92 @@
 import java.util.Set;
 
 /**
- * What a leader remembers of its steps: which are under way, when loads began, and what
- * failed how often. A rebalancer that forgets its failures tries the same hopeless load
- * at every round and starves the others of the weight store; one would notice a model
- * that never comes up while loads go on and on. So a step that failed waits, twice as
- * long each time, and one that fails on several upstreams waits on all of them.
+ * Tracks a leader's steps: which are running, when loads started, and which failed.
+ * Without a record of failures, the planner would retry the same hopeless load in every
+ * round and use up the weight store's rate, while the model never comes up. A failed step
+ * is therefore retried with exponential backoff, and a step that fails on several
+ * upstreams backs off on all of them.
  */
 public final class StepTracker {
 
-	private static final Duration FIRST_WAIT = Duration.ofSeconds(5);
+	private static final Duration INITIAL_BACKOFF = Duration.ofSeconds(5);
 
-	private static final Duration LONGEST_WAIT = Duration.ofMinutes(5);
+	private static final Duration MAX_BACKOFF = Duration.ofMinutes(5);
 
-	private static final Duration MINUTE = Duration.ofMinutes(1);
+	private static final Duration LOAD_RATE_WINDOW = Duration.ofMinutes(1);
 
-	private static final int WIDESPREAD = 3;
+	private static final int WIDESPREAD_UPSTREAMS = 3;
 
-	private static final String EVERYWHERE = "";
+	private static final String ALL_UPSTREAMS = "";
 
 	private final Map<String, Step> running = new HashMap<>();
 
-	private final Deque<Long> loadsBegun = new ArrayDeque<>();
+	private final Deque<Long> loadStartsNanos = new ArrayDeque<>();
 
 	private final Map<Key, StepFailure> failures = new HashMap<>();
 
-	private final Map<String, Set<String>> failedOn = new HashMap<>();
+	private final Map<String, Set<String>> failedUpstreams = new HashMap<>();
 
 	private StepTracker() {
 	}
 
 	/**
-	 * Returns a leader's memory at the start of its term.
-	 * @return an empty memory
+	 * Returns an empty tracker, for the start of a leader's term.
+	 * @return a new tracker
 	 */
 	public static StepTracker empty() {
 		return new StepTracker();
 	}
 
 	/**
-	 * Notes that a step has begun.
+	 * Called when a step has been started.
 	 * @param step the step
 	 * @param now the ticker's reading
 	 */
 	public synchronized void started(Step step, long now) {
 		this.running.put(step.upstream(), step);
 		if (step.kind().isLoad()) {
-			this.loadsBegun.addLast(now);
+			this.loadStartsNanos.addLast(now);
 		}
 	}
 
 	/**
-	 * Notes that a step was carried out.
+	 * Called when a step has succeeded.
 	 * @param step the step
 	 */
 	public synchronized void succeeded(Step step) {
 		this.running.remove(step.upstream(), step);
 		this.failures.remove(new Key(step.upstream(), step.subject()));
-		this.failures.remove(new Key(EVERYWHERE, step.subject()));
-		this.failedOn.remove(step.subject());
+		this.failures.remove(new Key(ALL_UPSTREAMS, step.subject()));
+		this.failedUpstreams.remove(step.subject());
 	}
 
 	/**
-	 * Notes that a step failed.
+	 * Called when a step has failed.
 	 * @param step the step
-	 * @param detail how
+	 * @param detail the error
 	 * @param now the ticker's reading
 	 */
 	public synchronized void failed(Step step, String detail, long now) {
 		this.running.remove(step.upstream(), step);
-		again(new Key(step.upstream(), step.subject()), detail, now);
-		Set<String> upstreams = this.failedOn.computeIfAbsent(step.subject(), (subject) -> new HashSet<>());
+		scheduleRetry(new Key(step.upstream(), step.subject()), detail, now);
+		Set<String> upstreams = this.failedUpstreams.computeIfAbsent(step.subject(), (subject) -> new HashSet<>());
 		upstreams.add(step.upstream());
-		if (upstreams.size() >= WIDESPREAD) {
-			again(new Key(EVERYWHERE, step.subject()), detail, now);
+		if (upstreams.size() >= WIDESPREAD_UPSTREAMS) {
+			scheduleRetry(new Key(ALL_UPSTREAMS, step.subject()), detail, now);
 		}
 	}
 
-	private void again(Key key, String detail, long now) {
-		StepFailure before = this.failures.get(key);
-		int count = (before != null) ? before.count() + 1 : 1;
-		long wait = Math.min(LONGEST_WAIT.toNanos(), FIRST_WAIT.toNanos() << Math.min(count - 1, 10));
-		this.failures.put(key, new StepFailure(key.upstream(), key.subject(), count, detail, now + wait));
+	private void scheduleRetry(Key key, String detail, long now) {
+		StepFailure previous = this.failures.get(key);
+		int count = (previous != null) ? previous.count() + 1 : 1;
+		long backoffNanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(count - 1, 10));
+		this.failures.put(key, new StepFailure(key.upstream(), key.subject(), count, detail, now + backoffNanos));
 	}
 
 	/**
-	 * Forgets a step whose outcome is not known, such as one on an upstream that is gone.
-	 * What became of it shows when the upstream is observed again.
+	 * Removes the running step of an upstream that was disconnected. The outcome of the
+	 * step is unknown until the upstream is observed again.
 	 * @param upstream the upstream
 	 */
 	public synchronized void upstreamLost(String upstream) {
@@ -105,16 +105,16 @@
 	}
 
 	/**
-	 * Returns the steps under way.
-	 * @return the steps, one an upstream at most
+	 * Returns the running steps.
+	 * @return the steps, at most one per upstream
 	 */
 	public synchronized Collection<Step> running() {
 		return List.copyOf(this.running.values());
 	}
 
 	/**
-	 * Returns what fails.
-	 * @return the failures, those on several upstreams among them
+	 * Returns the steps that have failed repeatedly.
+	 * @return the failures, including those on several upstreams
 	 */
 	public synchronized List<StepFailure> failures() {
 		return new ArrayList<>(this.failures.values());
@@ -125,7 +125,7 @@
 	}
 
 	synchronized boolean backingOff(String upstream, String subject, long now) {
-		return backingOff(new Key(upstream, subject), now) || backingOff(new Key(EVERYWHERE, subject), now);
+		return backingOff(new Key(upstream, subject), now) || backingOff(new Key(ALL_UPSTREAMS, subject), now);
 	}
 
 	private boolean backingOff(Key key, long now) {
@@ -139,14 +139,15 @@
 	}
 
 	synchronized boolean widespread(String subject) {
-		return this.failures.containsKey(new Key(EVERYWHERE, subject));
+		return this.failures.containsKey(new Key(ALL_UPSTREAMS, subject));
 	}
 
-	synchronized int loadsInTheLastMinute(long now) {
-		while (!this.loadsBegun.isEmpty() && now - this.loadsBegun.peekFirst() >= MINUTE.toNanos()) {
-			this.loadsBegun.removeFirst();
+	synchronized int loadsInLastMinute(long now) {
+		while (!this.loadStartsNanos.isEmpty()
+				&& now - this.loadStartsNanos.peekFirst() >= LOAD_RATE_WINDOW.toNanos()) {
+			this.loadStartsNanos.removeFirst();
 		}
-		return this.loadsBegun.size();
+		return this.loadStartsNanos.size();
 	}
 
 	private record Key(String upstream, String subject) {
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/UpstreamUsage.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/UpstreamUsage.java
@@ -1,11 +1,13 @@
 package org.ragworthook.core.reconcile;
 
 /**
- * How much of an upstream its online requests use, as its sidecar last reported. Batch
- * does not count: it fills whatever is left, so it would always ask for more.
+ * The usage of an upstream by online requests, as last reported by its sidecar. Batch
+ * requests are not counted: they fill all remaining capacity, so the demand would always
+ * grow.
  *
- * @param busy online requests that run or wait
- * @param limit requests that the upstream runs at once without queueing
+ * @param busy the number of online requests running or waiting
+ * @param limit the number of requests that the upstream runs concurrently without
+ * queueing
  */
 public record UpstreamUsage(int busy, int limit) {
 }
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/UpstreamView.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/UpstreamView.java
@@ -5,18 +5,18 @@
 import java.util.Set;
 
 /**
- * An upstream as it was last observed. Late by seconds: an order may have changed it
- * since.
+ * The last observed state of an upstream. It may be seconds old; an order may have
+ * changed the upstream since.
  *
- * @param id its sidecar's instance
- * @param service its service
- * @param failureDomain where it stands
- * @param loaded what it holds: models as {@code name@version}, adapters by name
+ * @param id the instance id of the upstream's sidecar
+ * @param service the name of the service
+ * @param failureDomain the failure domain
+ * @param loaded the loaded models as {@code name@version} and adapters by name
  */
 public record UpstreamView(String id, String service, String failureDomain, Set<String> loaded) {
 
 	/**
-	 * Copies what is loaded.
+	 * Copies the set of loaded models and adapters.
 	 */
 	public UpstreamView {
 		Objects.requireNonNull(id, "id is null");
@@ -26,22 +26,22 @@
 	}
 
 	/**
-	 * Returns the version of a model that is loaded.
-	 * @param model the model's name
-	 * @return the version, or empty if the upstream does not hold the model
+	 * Returns the loaded version of a model.
+	 * @param model the name of the model
+	 * @return the version, or empty if the model is not loaded
 	 */
 	public Optional<String> version(String model) {
 		String prefix = model + "@";
 		return this.loaded.stream()
-			.filter((held) -> held.startsWith(prefix))
-			.map((held) -> held.substring(prefix.length()))
+			.filter((subject) -> subject.startsWith(prefix))
+			.map((subject) -> subject.substring(prefix.length()))
 			.findFirst();
 	}
 
 	int models() {
 		int models = 0;
-		for (String held : this.loaded) {
-			models += (held.indexOf('@') >= 0) ? 1 : 0;
+		for (String subject : this.loaded) {
+			models += (subject.indexOf('@') >= 0) ? 1 : 0;
 		}
 		return models;
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/reconcile/FakeFleet.java
+++ b/modules/core/src/test/java/org/ragworthook/core/reconcile/FakeFleet.java
@@ -13,17 +13,17 @@
 import org.ragworthook.core.contract.Contract;
 
 /**
- * Upstreams that carry out steps, all those of a round at its end.
+ * A simulated fleet that executes the steps of a round at the end of the round.
  */
 final class FakeFleet {
 
 	private final Map<String, UpstreamView> upstreams = new TreeMap<>();
 
-	private final StepTracker memory = StepTracker.empty();
+	private final StepTracker tracker = StepTracker.empty();
 
-	private final List<Step> carriedOut = new ArrayList<>();
+	private final List<Step> executed = new ArrayList<>();
 
-	private Predicate<Step> fails = (step) -> false;
+	private Predicate<Step> failing = (step) -> false;
 
 	private long now;
 
@@ -36,26 +36,26 @@
 	}
 
 	void failing(Predicate<Step> steps) {
-		this.fails = steps;
+		this.failing = steps;
 	}
 
-	void lose(String domain) {
+	void loseDomain(String domain) {
 		this.upstreams.values().removeIf((view) -> view.failureDomain().equals(domain));
-		this.memory.running()
+		this.tracker.running()
 			.stream()
 			.filter((step) -> step.failureDomain().equals(domain))
-			.forEach((step) -> this.memory.upstreamLost(step.upstream()));
+			.forEach((step) -> this.tracker.upstreamLost(step.upstream()));
 	}
 
 	List<Step> plan(Reconciler reconciler, Contract contract) {
-		return reconciler.plan(contract, List.copyOf(this.upstreams.values()), this.memory, this.now);
+		return reconciler.plan(contract, List.copyOf(this.upstreams.values()), this.tracker, this.now);
 	}
 
 	List<Step> round(Reconciler reconciler, Contract contract, Duration length) {
 		List<Step> steps = plan(reconciler, contract);
-		steps.forEach((step) -> this.memory.started(step, this.now));
+		steps.forEach((step) -> this.tracker.started(step, this.now));
 		this.now += length.toNanos();
-		steps.forEach(this::end);
+		steps.forEach(this::complete);
 		return steps;
 	}
 
@@ -68,18 +68,18 @@
 		return rounds;
 	}
 
-	private void end(Step step) {
+	private void complete(Step step) {
 		if (!this.upstreams.containsKey(step.upstream())) {
 			return;
 		}
-		if (this.fails.test(step)) {
-			this.memory.failed(step, "out of memory", this.now);
+		if (this.failing.test(step)) {
+			this.tracker.failed(step, "out of memory", this.now);
 			return;
 		}
 		UpstreamView view = this.upstreams.get(step.upstream());
 		Set<String> loaded = new HashSet<>(view.loaded());
 		if (step.kind() == Step.Kind.LOAD_MODEL) {
-			loaded.removeIf((held) -> held.startsWith(step.model() + "@"));
+			loaded.removeIf((subject) -> subject.startsWith(step.model() + "@"));
 		}
 		if (step.kind().isLoad()) {
 			loaded.add(step.subject());
@@ -88,8 +88,8 @@
 			loaded.remove(step.subject());
 		}
 		this.upstreams.put(view.id(), new UpstreamView(view.id(), view.service(), view.failureDomain(), loaded));
-		this.memory.succeeded(step);
-		this.carriedOut.add(step);
+		this.tracker.succeeded(step);
+		this.executed.add(step);
 	}
 
 	Map<String, Integer> holders(String subject) {
@@ -101,12 +101,12 @@
 		return holders;
 	}
 
-	List<Step> carriedOut() {
-		return this.carriedOut;
+	List<Step> executed() {
+		return this.executed;
 	}
 
-	StepTracker memory() {
-		return this.memory;
+	StepTracker tracker() {
+		return this.tracker;
 	}
 
 }
--- a/modules/core/src/test/java/org/ragworthook/core/reconcile/ReconcilerTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/reconcile/ReconcilerTests.java
@@ -31,7 +31,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "2, 2", "6, 3", "9, 3" })
-	void shouldLoadAndSpreadWhatTheTextDemands(int min, int domains) {
+	void shouldLoadAndSpreadReplicasOfContract(int min, int domains) {
 		FakeFleet fleet = new FakeFleet().add("a", 5).add("b", 5).add("c", 5);
 		int rounds = fleet.settle(this.reconciler, contract("1", min, 12, domains), 50);
 		assertThat(rounds).isLessThan(50);
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void shouldKeepEveryReplicaAnsweringDuringARollOut() {
+	void shouldReplaceOneReplicaAtATimeDuringRollOut() {
 		FakeFleet fleet = new FakeFleet().add("a", 3, "m@1", "cut").add("b", 3, "m@1", "cut");
 		Contract next = contract("2", 6, 6, 2);
 		for (int round = 0; round < 30; round++) {
@@ -60,16 +60,15 @@
 			assertThat(steps.size()).isAtMost(1);
 		}
 		assertThat(fleet.holders("m@2")).containsExactly("a", 3, "b", 3);
-		assertThat(fleet.carriedOut().stream().filter((step) -> !step.kind().isLoad()).toList()).isEmpty();
+		assertThat(fleet.executed().stream().filter((step) -> !step.kind().isLoad()).toList()).isEmpty();
 	}
 
-	// The weights of the new version are broken, so every load fails. Without a memory
-	// the
-	// roll-out would take one upstream after the other out of service. It must stop after
-	// a
-	// few, go back where it got through, and show why.
+	// The weights of the new version are corrupt, so every load fails. Without tracking
+	// failures, the roll-out would take one upstream after another out of service. It
+	// must stop after a few, roll back the upstreams that succeeded, and report the
+	// error.
 	@Test
-	void shouldStopARollOutThatFailsAndGoBack() {
+	void shouldStopAndRollBackFailingRollOut() {
 		FakeFleet fleet = new FakeFleet().add("a", 5, "m@1", "cut").add("b", 5, "m@1", "cut");
 		Contract next = contract("2", 10, 10, 2);
 		fleet.round(this.reconciler, next, ROUND);
@@ -79,59 +78,59 @@
 			fleet.round(this.reconciler, next, ROUND);
 		}
 		assertThat(fleet.holders("m@1")).containsExactly("a", 5, "b", 5);
-		assertThat(fleet.memory().failures().stream().map(StepFailure::upstream).toList()).contains("");
-		assertThat(fleet.memory().failures().stream().map(StepFailure::detail).toList()).contains("out of memory");
+		assertThat(fleet.tracker().failures().stream().map(StepFailure::upstream).toList()).contains("");
+		assertThat(fleet.tracker().failures().stream().map(StepFailure::detail).toList()).contains("out of memory");
 	}
 
-	// A single upstream cannot load the model, ever. It must be tried less and less often
-	// while the others are served, or it would eat the weight store's rate.
+	// One upstream can never load the model. Retries must become rarer, or they would
+	// use up the weight store's rate.
 	@Test
-	void shouldTryALoadThatFailsRepeatedlyLessAndLessOften() {
+	void shouldBackOffFromLoadThatKeepsFailing() {
 		FakeFleet fleet = new FakeFleet().add("a", 1);
 		fleet.failing((step) -> true);
-		int tries = 0;
+		int attempts = 0;
 		for (int round = 0; round < 60; round++) {
-			tries += fleet.round(this.reconciler, contract("1", 1, 1, 1), ROUND).size();
+			attempts += fleet.round(this.reconciler, contract("1", 1, 1, 1), ROUND).size();
 		}
-		assertThat(tries).isAtLeast(4);
-		assertThat(tries).isAtMost(9);
-		assertThat(fleet.memory().failures().get(0).count()).isEqualTo(tries);
+		assertThat(attempts).isAtLeast(4);
+		assertThat(attempts).isAtMost(9);
+		assertThat(fleet.tracker().failures().get(0).count()).isEqualTo(attempts);
 	}
 
-	// The weight store hands out few loads a minute. Asked for more it answers 429 to
-	// everybody, also to the upstream that has to come back at once.
+	// The weight store serves only few loads per minute. Above that rate it answers 429
+	// to every upstream, including one that has to recover immediately.
 	@Test
-	void shouldKeepToTheWeightStoresRate() {
-		Reconciler slow = Reconciler.of(StepLimits.of(new WeightStore(6, 2)), (model) -> 0);
+	void shouldRespectLoadRateOfWeightStore() {
+		Reconciler throttled = Reconciler.of(StepLimits.of(new WeightStore(6, 2)), (model) -> 0);
 		FakeFleet fleet = new FakeFleet().add("a", 20).add("b", 20).add("c", 20);
-		int begun = 0;
+		int started = 0;
 		for (int round = 0; round < 12; round++) {
-			List<Step> steps = fleet.round(slow, contract("1", 40, 60, 3), Duration.ofSeconds(5));
+			List<Step> steps = fleet.round(throttled, contract("1", 40, 60, 3), Duration.ofSeconds(5));
 			assertThat(steps.size()).isAtMost(2);
-			begun += steps.size();
+			started += steps.size();
 		}
-		assertThat(begun).isEqualTo(6);
+		assertThat(started).isEqualTo(6);
 	}
 
-	// A failure domain is lost in the middle of a roll-out. Its replicas must come up
-	// elsewhere before the roll-out goes on, and nothing may be left waiting for the
-	// upstreams that are gone.
+	// A failure domain is lost during a roll-out. Its replicas must be restored
+	// elsewhere before the roll-out continues, and no step may stay running on lost
+	// upstreams.
 	@Test
-	void shouldRestoreElsewhereWhenAFailureDomainIsLostInARollOut() {
+	void shouldRestoreReplicasWhenFailureDomainIsLostDuringRollOut() {
 		FakeFleet fleet = new FakeFleet().add("a", 6, "m@1", "cut").add("b", 6, "m@1", "cut").add("c", 12);
 		Contract next = contract("2", 12, 14, 2);
 		fleet.round(this.reconciler, next, ROUND);
-		fleet.lose("b");
+		fleet.loseDomain("b");
 		List<Step> steps = fleet.plan(this.reconciler, next);
 		assertThat(steps.get(0).priority()).isEqualTo(Step.Priority.RESTORE);
 		fleet.settle(this.reconciler, next, 60);
 		assertThat(fleet.holders("m@2").get("a") + fleet.holders("m@2").get("c")).isAtLeast(12);
 		assertThat(fleet.holders("m@1")).isEmpty();
-		assertThat(fleet.memory().running()).isEmpty();
+		assertThat(fleet.tracker().running()).isEmpty();
 	}
 
 	@Test
-	void shouldGrowWithDemandWithinTheTextsBounds() {
+	void shouldGrowWithDemandWithinContractBounds() {
 		FakeFleet fleet = new FakeFleet().add("a", 10).add("b", 10);
 		Reconciler demanding = Reconciler.of(StepLimits.of(new WeightStore(600, 4)), (model) -> 50);
 		fleet.settle(demanding, contract("1", 2, 8, 2), 50);
@@ -142,15 +141,15 @@
 	}
 
 	@Test
-	void shouldAskForMoreReplicasWhenTheirUpstreamsAreNearlyFull() {
+	void shouldDemandMoreReplicasWhenUpstreamsAreNearlyFull() {
 		List<UpstreamView> observed = List.of(new UpstreamView("u1", "desk", "a", Set.of("m@1", "cut")),
 				new UpstreamView("u2", "desk", "b", Set.of("m@1")), new UpstreamView("u3", "desk", "b", Set.of()));
 		Model model = contract("1", 1, 9, 1).services().get(0).models().get(0);
 		assertThat(Demand.of(observed, Map.of()).applyAsInt(model)).isEqualTo(2);
-		Map<String, UpstreamUsage> calm = Map.of("u1", new UpstreamUsage(1, 10), "u2", new UpstreamUsage(0, 10));
-		assertThat(Demand.of(observed, calm).applyAsInt(model)).isEqualTo(2);
-		Map<String, UpstreamUsage> full = Map.of("u1", new UpstreamUsage(20, 10), "u2", new UpstreamUsage(8, 10));
-		assertThat(Demand.of(observed, full).applyAsInt(model)).isEqualTo(4);
+		Map<String, UpstreamUsage> lowUsage = Map.of("u1", new UpstreamUsage(1, 10), "u2", new UpstreamUsage(0, 10));
+		assertThat(Demand.of(observed, lowUsage).applyAsInt(model)).isEqualTo(2);
+		Map<String, UpstreamUsage> highUsage = Map.of("u1", new UpstreamUsage(20, 10), "u2", new UpstreamUsage(8, 10));
+		assertThat(Demand.of(observed, highUsage).applyAsInt(model)).isEqualTo(4);
 	}
 
 }
