--- a/modules/core/src/main/java/org/ragworthook/core/order/OrderFence.java
+++ b/modules/core/src/main/java/org/ragworthook/core/order/OrderFence.java
@@ -12,13 +12,13 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Refuses orders with an older fencing number than the highest seen.
+ * Rejects orders whose fencing token is lower than the highest one seen.
  * <p>
- * A leader that was paused goes on giving orders after another has taken over. Some
- * engines carry out whatever they are told; one would notice a model unloaded that the
- * new leader has just loaded. A sidecar that restarts has forgotten the highest number,
- * so before the first order of a shard it reads the shard's lease back from the platform.
- * While it cannot, it refuses orders; requests go on being served meanwhile.
+ * A leader that was paused may continue to send orders after another has taken over, and
+ * some engines execute any order, so that a model that the new leader has just loaded
+ * could be unloaded. A restarted sidecar has lost the highest token, so before the first
+ * order of a shard it reads the shard's lease from the platform. While the lease cannot
+ * be read, orders are rejected; inference requests are still served.
  */
 public final class OrderFence {
 
@@ -26,7 +26,7 @@
 
 	private final String group;
 
-	private final Map<Integer, Long> highest = new ConcurrentHashMap<>();
+	private final Map<Integer, Long> highestEpochs = new ConcurrentHashMap<>();
 
 	private OrderFence(ObjectStore store, String group) {
 		this.store = Objects.requireNonNull(store, "store is null");
@@ -35,8 +35,8 @@
 
 	/**
 	 * Returns a fence that has seen no order.
-	 * @param store where the leases are
-	 * @param group the first part of the leases' names, before the shard's number
+	 * @param store the store that holds the leases
+	 * @param group the prefix of the lease names, before the shard number
 	 * @return the fence
 	 */
 	public static OrderFence of(ObjectStore store, String group) {
@@ -44,39 +44,40 @@
 	}
 
 	/**
-	 * Lets an order pass or refuses it.
-	 * @param shard the shard of the fleet that the order's leader holds
-	 * @param epoch the order's fencing number
-	 * @return done if the order may be passed on; fails with {@code ORDER_FENCED} if a
-	 * newer leader is known, and with {@code ORDER_NO_FENCE} if it cannot be read back
-	 * whether there is one
+	 * Admits or rejects an order.
+	 * @param shard the shard of the fleet that the sender of the order leads
+	 * @param epoch the fencing token of the order
+	 * @return completes if the order may be executed; fails with {@code ORDER_FENCED} if
+	 * a newer leader is known, and with {@code ORDER_NO_FENCE} if the lease cannot be
+	 * read
 	 */
 	public CompletableFuture<Void> admit(int shard, long epoch) {
-		CompletableFuture<Void> known = this.highest.containsKey(shard) ? CompletableFuture.completedFuture(null)
-				: readBack(shard);
-		return known.thenRun(() -> raise(shard, epoch));
+		CompletableFuture<Void> leaseRead = this.highestEpochs.containsKey(shard)
+				? CompletableFuture.completedFuture(null) : readLease(shard);
+		return leaseRead.thenRun(() -> checkAndRaise(shard, epoch));
 	}
 
 	/**
-	 * Tells whether an order is still the newest leader's. An order waits while the one
-	 * before it is carried out, and a newer leader may come meanwhile.
+	 * Returns whether an admitted order still comes from the latest leader. An order
+	 * waits while the previous one is executed, and a newer leader may take over in the
+	 * meantime.
 	 * @param shard the shard of the fleet
-	 * @param epoch the order's fencing number
-	 * @return whether no higher number has been seen
+	 * @param epoch the fencing token of the order
+	 * @return whether no higher token has been seen
 	 */
 	public boolean isCurrent(int shard, long epoch) {
-		return this.highest.getOrDefault(shard, Long.MAX_VALUE) <= epoch;
+		return this.highestEpochs.getOrDefault(shard, Long.MAX_VALUE) <= epoch;
 	}
 
-	private void raise(int shard, long epoch) {
-		long seen = this.highest.merge(shard, epoch, Math::max);
+	private void checkAndRaise(int shard, long epoch) {
+		long seen = this.highestEpochs.merge(shard, epoch, Math::max);
 		if (seen > epoch) {
 			throw new OrderException(ErrorCode.ORDER_FENCED,
 					"the order's fencing number is " + epoch + ", but " + seen + " was seen");
 		}
 	}
 
-	private CompletableFuture<Void> readBack(int shard) {
+	private CompletableFuture<Void> readLease(int shard) {
 		String name = this.group + "-" + shard;
 		return this.store.read(Lease.key(name)).handle((found, failure) -> {
 			if (failure != null) {
@@ -85,7 +86,7 @@
 			}
 			Stored stored = found
 				.orElseThrow(() -> new OrderException(ErrorCode.ORDER_NO_FENCE, "there is no lease " + name));
-			this.highest.merge(shard, Lease.parse(name, stored.text()).epoch(), Math::max);
+			this.highestEpochs.merge(shard, Lease.parse(name, stored.text()).epoch(), Math::max);
 			return null;
 		});
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/order/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/order/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Orders to upstreams and the fence that keeps an old leader's orders from them.
+ * Fencing of orders (load and unload commands) to upstreams, so that a deposed leader's
+ * orders are rejected.
  */
 package org.ragworthook.core.order;
--- a/modules/core/src/test/java/org/ragworthook/core/order/OrderFenceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/order/OrderFenceTests.java
@@ -37,7 +37,7 @@
 		this.lease = this.store.update(this.lease.key(), draft(5, "entry-2"), this.lease.version()).join();
 	}
 
-	private static Optional<ErrorCode> refusal(CompletableFuture<Void> admitted) {
+	private static Optional<ErrorCode> rejection(CompletableFuture<Void> admitted) {
 		try {
 			admitted.join();
 			return Optional.empty();
@@ -47,43 +47,40 @@
 		}
 	}
 
-	// A leader is paused, another takes over and gives its orders, then the first wakes
-	// and
-	// goes on. Its order must not undo what the new leader did.
+	// A leader is paused, another takes over and sends orders, then the first resumes.
+	// Its orders must not undo those of the new leader.
 	@Test
-	void shouldRefuseThePausedLeaderOnceTheNewOneHasSpoken() {
+	void shouldRejectDeposedLeaderAfterOrderOfNewLeader() {
 		OrderFence fence = OrderFence.of(this.store, "reconciler");
-		assertThat(refusal(fence.admit(0, 4))).isEmpty();
+		assertThat(rejection(fence.admit(0, 4))).isEmpty();
 		takeOver();
-		assertThat(refusal(fence.admit(0, 5))).isEmpty();
-		assertThat(refusal(fence.admit(0, 4))).hasValue(ErrorCode.ORDER_FENCED);
+		assertThat(rejection(fence.admit(0, 5))).isEmpty();
+		assertThat(rejection(fence.admit(0, 4))).hasValue(ErrorCode.ORDER_FENCED);
 		assertThat(fence.isCurrent(0, 4)).isFalse();
 		assertThat(fence.isCurrent(0, 5)).isTrue();
 	}
 
-	// The sidecar is restarted between the two leaders' orders and remembers nothing. The
-	// old leader's order comes first after the restart; only the lease tells that it is
-	// old.
+	// The sidecar restarts between the orders of two leaders and has lost its state.
+	// The old leader's order arrives first; only the lease shows that it is outdated.
 	@Test
-	void shouldReadTheLeaseBackBeforeItsFirstOrder() {
+	void shouldReadLeaseBeforeFirstOrder() {
 		takeOver();
 		OrderFence restarted = OrderFence.of(this.store, "reconciler");
-		assertThat(refusal(restarted.admit(0, 4))).hasValue(ErrorCode.ORDER_FENCED);
-		assertThat(refusal(restarted.admit(0, 5))).isEmpty();
+		assertThat(rejection(restarted.admit(0, 4))).hasValue(ErrorCode.ORDER_FENCED);
+		assertThat(rejection(restarted.admit(0, 5))).isEmpty();
 	}
 
-	// The platform is out while the sidecar restarts, so nobody can say which leader is
-	// the
-	// newest. An order now could be the old one's; it has to wait.
+	// The platform is unavailable while the sidecar restarts, so the latest leader is
+	// unknown. An order could come from a deposed leader and must be rejected.
 	@Test
-	void shouldRefuseOrdersWhileTheLeaseCannotBeRead() {
+	void shouldRejectOrdersWhileLeaseCannotBeRead() {
 		FaultyObjectStore faulty = FaultyObjectStore.over(this.store);
 		faulty.plan(FaultyObjectStore.Fault.REFUSED);
 		OrderFence restarted = OrderFence.of(faulty, "reconciler");
-		assertThat(refusal(restarted.admit(0, 5))).hasValue(ErrorCode.ORDER_NO_FENCE);
+		assertThat(rejection(restarted.admit(0, 5))).hasValue(ErrorCode.ORDER_NO_FENCE);
 		faulty.plan(FaultyObjectStore.Fault.NONE);
-		assertThat(refusal(restarted.admit(0, 4))).isEmpty();
-		assertThat(refusal(OrderFence.of(this.store, "nobody").admit(0, 1))).hasValue(ErrorCode.ORDER_NO_FENCE);
+		assertThat(rejection(restarted.admit(0, 4))).isEmpty();
+		assertThat(rejection(OrderFence.of(this.store, "nobody").admit(0, 1))).hasValue(ErrorCode.ORDER_NO_FENCE);
 	}
 
 }
