--- a/modules/gateway/src/main/java/org/ragworthook/gateway/log/BoundedLog.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/log/BoundedLog.java
@@ -17,7 +17,7 @@
  */
 public final class BoundedLog {
 
-	/** Lines that may be queued: some seconds of a busy process. */
+	/** Lines that may be queued: several seconds of a busy process. */
 	private static final int CAPACITY_LINES = 4_096;
 
 	/** Length from which gathered lines are written, in characters. */
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/BacklogReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/BacklogReports.java
@@ -30,7 +30,7 @@
 	/**
 	 * Sets the supplier of the backlog of the jobs that this process owns.
 	 * @param backlog returns tokens by the key of route and account, or empty until the
-	 * process has read which jobs there are
+	 * process has read the list of jobs
 	 */
 	void owned(Supplier<Optional<Map<Integer, Long>>> backlog) {
 		this.owned = Objects.requireNonNull(backlog, "backlog is null");
@@ -74,23 +74,23 @@
 	 * @param reports the newest report of each peer
 	 * @param key the key of route and account
 	 * @return the waiting tokens; complete if at least one process runs jobs and each of
-	 * those that do has read which jobs there are
+	 * those that do has read the list of jobs
 	 */
 	WaitingTokens sum(List<LoadReport> reports, int key) {
 		Optional<Map<Integer, Long>> mine = this.owned.get();
 		long tokens = mine.map((backlog) -> backlog.getOrDefault(key, 0L)).orElse(0L);
-		boolean runners = mine.isPresent();
-		boolean known = true;
+		boolean anyRunner = mine.isPresent();
+		boolean complete = true;
 		for (LoadReport report : reports) {
 			if (report.getRunsJobs() && !report.getLeaving()) {
-				runners = true;
-				known &= report.getBacklogKnown();
+				anyRunner = true;
+				complete &= report.getBacklogKnown();
 			}
 			for (RouteBacklog backlog : report.getBacklogsList()) {
 				tokens += (backlog.getRoute() == key) ? backlog.getTokens() : 0;
 			}
 		}
-		return new WaitingTokens(runners && known, tokens);
+		return new WaitingTokens(anyRunner && complete, tokens);
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/FleetView.java
@@ -52,10 +52,9 @@
 	}
 
 	/**
-	 * Called when a report has been received, or this process has begun to leave:
-	 * computes the owner candidates anew on their next use.
+	 * Discards the cached owner candidates. Called when a report has been received.
 	 */
-	void changed() {
+	void invalidate() {
 		this.ownerCandidates.invalidate();
 	}
 
@@ -64,7 +63,7 @@
 	 */
 	void leave() {
 		this.leaving = true;
-		changed();
+		invalidate();
 	}
 
 	boolean leaving() {
@@ -84,8 +83,9 @@
 	}
 
 	/**
-	 * Sets the condition that this process has lost the store. Its peers still receive
-	 * its reports; if it remained the owner of jobs, nobody would publish their results.
+	 * Sets the supplier of whether this process has lost the store. Its peers still
+	 * receive its reports; if it remained the owner of jobs, nobody would publish their
+	 * results.
 	 * @param condition returns whether the store is lost to this process
 	 */
 	public void storeLost(BooleanSupplier condition) {
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/LoadExchange.java
@@ -204,7 +204,7 @@
 	}
 
 	/**
-	 * Sets the condition that items of this process wait for a slot.
+	 * Sets the supplier of whether items of this process wait for a slot.
 	 * @param condition returns whether items wait
 	 */
 	public void wantsSlots(BooleanSupplier condition) {
@@ -214,7 +214,7 @@
 	/**
 	 * Sets the supplier of the backlog of the jobs that this process owns.
 	 * @param backlog returns tokens by the key of route and account, or empty until the
-	 * process has read which jobs there are
+	 * process has read the list of jobs
 	 */
 	public void ownedBacklog(Supplier<Optional<Map<Integer, Long>>> backlog) {
 		this.backlogs.owned(backlog);
@@ -345,7 +345,7 @@
 	}
 
 	private void accepted(Peer peer, LoadReport report) {
-		this.fleet.changed();
+		this.fleet.invalidate();
 		this.totals.replace(peer.address(), loads(report));
 		if (report.getSuspectsCount() > 0) {
 			updateSuspects();
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerTable.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/PeerTable.java
@@ -22,10 +22,16 @@
 
 	private static final EventLog LOG = EventLog.of(PeerTable.class);
 
-	/** Age from which a report no longer counts: several unchanged reports were lost. */
+	/**
+	 * Age of its newest report from which a peer is not live. A peer without changes
+	 * reports every 400 ms, so several reports in succession have been lost by then.
+	 */
 	private static final Duration LIVENESS_TIMEOUT = Duration.ofMillis(1_500);
 
-	/** Twice the time until the next owner of a silent peer's jobs has read them. */
+	/**
+	 * Age of its newest report from which a peer's backlog is not counted: twice the time
+	 * until the next owners of the jobs of a stopped process have read them.
+	 */
 	private static final Duration BACKLOG_TIMEOUT = Duration.ofMillis(5_000);
 
 	/**
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/RendezvousOwners.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/RendezvousOwners.java
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Returns the assignment among some processes.
+	 * Returns the assignment of jobs to the processes that may own them.
 	 * @param self the name of this process
 	 * @param candidates returns the names of the processes that may own jobs
 	 * @return the assignment
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ResultReports.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/peer/ResultReports.java
@@ -34,9 +34,9 @@
 
 	/**
 	 * The greatest age of each report that an answer may rest on. Processes without
-	 * changes report at least every half second, so that one lost report makes the answer
-	 * unavailable until the next one. 200 ms of the second are left for the transmission
-	 * of reports.
+	 * changes report at least every half second, so one lost report makes answers
+	 * unavailable until the next report. 200 ms of the second are left for the
+	 * transmission of reports.
 	 */
 	static final Duration MAX_REPORT_AGE = Duration.ofMillis(800);
 
@@ -53,7 +53,7 @@
 
 	private final BooleanSupplier stable;
 
-	private Supplier<List<PublishedResults>> own = List::of;
+	private Supplier<List<PublishedResults>> ownResults = List::of;
 
 	private Runnable listener = () -> {
 	};
@@ -90,8 +90,8 @@
 	 * Sets the supplier of the published results of the jobs that this process owns.
 	 * @param results returns one element for each job
 	 */
-	public void own(Supplier<List<PublishedResults>> results) {
-		this.own = Objects.requireNonNull(results, "results is null");
+	public void ownResults(Supplier<List<PublishedResults>> results) {
+		this.ownResults = Objects.requireNonNull(results, "results is null");
 	}
 
 	/**
@@ -106,7 +106,7 @@
 	@Override
 	public void write(LoadReport.Builder report) {
 		int chars = 0;
-		for (PublishedResults results : this.own.get()) {
+		for (PublishedResults results : this.ownResults.get()) {
 			chars += results.jobId().length();
 			if (chars > MAX_JOB_ID_CHARS) {
 				return;
@@ -139,7 +139,7 @@
 	private Optional<PublishedResults> authoritative(String jobId, List<LoadReport> reports) {
 		int segments = this.reportedSegments.getOrDefault(jobId, 0);
 		int items = 0;
-		for (PublishedResults results : this.own.get()) {
+		for (PublishedResults results : this.ownResults.get()) {
 			if (results.jobId().equals(jobId)) {
 				segments = Math.max(segments, results.maxSegments());
 				items = results.authoritative() ? results.itemCount() : items;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/GatewayProcess.java
@@ -83,7 +83,7 @@
 	/** For collections that change seldom: a watch makes its next call at once. */
 	private static final Supplier<Duration> NO_COALESCING = () -> Duration.ZERO;
 
-	/** An interval at which these are about one in a hundred log lines. */
+	/** At this interval about one log line in a hundred shows the store calls. */
 	private static final Duration STORE_CALLS_LOG_INTERVAL = Duration.ofSeconds(10);
 
 	private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(50);
@@ -299,7 +299,7 @@
 					this.peers.dispatch()));
 		this.peers.exchange().wantsSlots(jobRunner::hasWaitingItems);
 		this.peers.exchange().ownedBacklog(jobRunner::backlog);
-		this.peers.results().own(jobRunner::publishedResults);
+		this.peers.results().ownResults(jobRunner::publishedResults);
 		this.peers.exchange().onReport(jobRunner::yieldSlots);
 		followJobs(jobRunner, owners);
 		follow(this.platform.retirements(), new RetirementListener(this.settings.instance(), this.peers.exchange(),
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/process/PauseDetector.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/process/PauseDetector.java
@@ -19,8 +19,8 @@
 	private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * How long after the last check a check counts as the end of a pause. The checks of a
-	 * busy process on a third of a processor are late by some ten milliseconds.
+	 * Time since the last check from which the process counts as paused. The checks of a
+	 * busy process on a third of a processor are about ten milliseconds late.
 	 */
 	private static final Duration PAUSE_THRESHOLD = Duration.ofMillis(400);
 
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/LoadExchangeTests.java
@@ -74,7 +74,7 @@
 	/**
 	 * All entries accept jobs under one common limit. A job is counted by the report of
 	 * the entry that accepted it until its owner counts it. The total is incomplete as
-	 * long as one owner has not read which jobs there are.
+	 * long as one owner has not read the list of jobs.
 	 */
 	@Test
 	void shouldSumTheBacklogOfAllProcesses() throws InterruptedException {
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ResultReportsSimulation.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/peer/ResultReportsSimulation.java
@@ -199,7 +199,7 @@
 			this.reports = new ResultReports(this.fleet, this::stable);
 			this.job = new SimulatedOwner(JOB, ticker, () -> this.pauses, this.fleet::runnerStates);
 			if (this.runsJobs) {
-				this.reports.own(this.job::publishedResults);
+				this.reports.ownResults(this.job::publishedResults);
 			}
 			for (int other = 0; other < OWNERS + ENTRIES; other++) {
 				if (other != this.index) {
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/process/IsolationRuleTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/process/IsolationRuleTests.java
@@ -18,8 +18,9 @@
 	 * Guards against an entry that stays ready while it is isolated: its machine is cut
 	 * off, or the store rejects this machine alone. If it is the only entry of its
 	 * failure domain, the balancer sends all jobs of the domain's callers to it, and each
-	 * of them is refused. If no process reaches the store, or there is no other process,
-	 * the entry stays ready, since no other entry would serve callers better.
+	 * of them is refused. If the live peers have lost the store as well, or there is no
+	 * other process, the entry stays ready, since no other entry would serve callers
+	 * better.
 	 * @param lostMillis for how long the store has not answered, in milliseconds
 	 * @param known the number of known processes
 	 * @param live the number of live processes
