--- a/modules/core/src/main/java/org/ragworthook/core/lease/Lease.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/Lease.java
@@ -12,13 +12,14 @@
 import org.ragworthook.core.store.ObjectKey;
 
 /**
- * Who is in charge of something, as recorded at the platform. The record is JSON with the
- * keys {@code epoch}, {@code holder} and {@code period_millis}.
+ * A lease as stored at the platform. The record is JSON with the keys {@code epoch},
+ * {@code holder} and {@code period_millis}.
  *
- * @param name what the lease is for
- * @param epoch the fencing number; raised by each take-over
- * @param holder the holder's identity, unique to its run; empty if the lease was released
- * @param period how long it holds after its last write
+ * @param name the name of the lease
+ * @param epoch the fencing token, incremented by each acquisition
+ * @param holder the id of the holder, unique to its process run; empty if the lease was
+ * released
+ * @param period how long the lease is valid after its last write
  */
 public record Lease(String name, long epoch, String holder, Duration period) {
 
@@ -31,7 +32,7 @@
 	private static final String PERIOD = "period_millis";
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public Lease {
 		Objects.requireNonNull(name, "name is null");
@@ -40,9 +41,9 @@
 	}
 
 	/**
-	 * Reads a lease from its record.
-	 * @param name what the lease is for
-	 * @param text the record's value
+	 * Parses the record of a lease.
+	 * @param name the name of the lease
+	 * @param text the record, as JSON
 	 * @return the lease
 	 * @throws StoreException if the record is not well-formed
 	 */
@@ -58,8 +59,8 @@
 	}
 
 	/**
-	 * Returns the key of a lease's record.
-	 * @param name what the lease is for
+	 * Returns the key of the record of a lease.
+	 * @param name the name of the lease
 	 * @return the key
 	 */
 	public static ObjectKey key(String name) {
@@ -67,8 +68,8 @@
 	}
 
 	/**
-	 * Returns the value of the record.
-	 * @return the text, as JSON
+	 * Returns the record of the lease.
+	 * @return the record, as JSON
 	 */
 	public String text() {
 		return JSON.createObjectNode()
@@ -79,27 +80,27 @@
 	}
 
 	/**
-	 * Tells whether the last holder gave the lease up.
-	 * @return whether anybody may take it at once
+	 * Returns whether the last holder has released the lease.
+	 * @return whether the lease may be acquired immediately
 	 */
 	public boolean released() {
 		return this.holder.isEmpty();
 	}
 
 	/**
-	 * Returns the lease as its next holder takes it.
-	 * @param taker the next holder
-	 * @param wanted the next holder's period
+	 * Returns the lease as acquired by a new holder.
+	 * @param newHolder the id of the new holder
+	 * @param newPeriod the period of the new holder
 	 * @return the lease with the next epoch
 	 */
-	public Lease acquiredBy(String taker, Duration wanted) {
-		return new Lease(this.name, this.epoch + 1, taker, wanted);
+	public Lease acquiredBy(String newHolder, Duration newPeriod) {
+		return new Lease(this.name, this.epoch + 1, newHolder, newPeriod);
 	}
 
 	/**
-	 * Returns the lease without a holder. The epoch stays, so that the next taker raises
-	 * it above everything sent so far.
-	 * @return the lease as it is released
+	 * Returns the lease without a holder. The epoch is kept, so that the next acquisition
+	 * increments it above everything sent so far.
+	 * @return the released lease
 	 */
 	public Lease asReleased() {
 		return new Lease(this.name, this.epoch, "", this.period);
--- a/modules/core/src/main/java/org/ragworthook/core/lease/LeaseKeeper.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/LeaseKeeper.java
@@ -18,19 +18,19 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Takes, renews and releases one lease.
+ * Acquires, renews and releases one lease.
  * <p>
- * A holder that was paused can wake up after its lease was taken over. It would go on in
- * the belief to be in charge, and one would see work sent out twice. Therefore the holder
- * counts its time from before its write was sent and gives up a tenth of the period
- * early, while a taker counts a whole period in which the record did not change, on its
- * own monotonic clock, from when it first saw the record. The order of the two does not
- * depend on the clocks of two instances being set alike. What the belief cannot keep out
- * (a thread halted between a check and the sending) is refused by the epoch.
+ * A holder that was paused may resume after its lease has been taken over; if it
+ * continued as the holder, work would be done twice. The holder therefore measures the
+ * validity of its lease from before the write was sent, and stops a tenth of the period
+ * early. Another process waits until the record has been unchanged for a whole period,
+ * measured on its own monotonic clock from when it first saw the record. The holder thus
+ * always stops first, without synchronized clocks. What this cannot prevent, such as a
+ * thread paused between the check and the sending, is rejected by means of the epoch.
  */
 public final class LeaseKeeper {
 
-	private static final long EARLY = 10;
+	private static final long SAFETY_MARGIN_DIVISOR = 10;
 
 	private final ObjectStore store;
 
@@ -52,7 +52,7 @@
 
 	private volatile CompletableFuture<?> lastWrite = CompletableFuture.completedFuture(null);
 
-	private volatile boolean resigned;
+	private volatile boolean releasing;
 
 	private LeaseKeeper(Builder builder, String name, Labels labels) {
 		this.store = builder.store;
@@ -66,8 +66,9 @@
 
 	/**
 	 * Returns a builder of keepers.
-	 * @param store where the leases are
-	 * @param stamps marks each write; the name of its writer is the holder's identity
+	 * @param store the store that holds the leases
+	 * @param stamps the marks that identify this process's writes; the writer name is the
+	 * id of the holder
 	 * @param ticker the monotonic clock
 	 * @return the builder
 	 */
@@ -76,7 +77,7 @@
 	}
 
 	/**
-	 * Returns what the lease is for.
+	 * Returns the name of the lease.
 	 * @return the name
 	 */
 	public String name() {
@@ -84,23 +85,23 @@
 	}
 
 	/**
-	 * Returns the lease, as long as this keeper may believe that it holds it.
-	 * @return the lease, or empty
+	 * Returns the lease while this keeper holds it.
+	 * @return the lease, or empty if it is not held or its validity has ended
 	 */
 	public Optional<Lease> held() {
 		View now = this.view.get();
-		boolean believed = !this.resigned && this.ticker.nanos() - now.until() < 0;
-		return believed ? now.own() : Optional.empty();
+		boolean valid = !this.releasing && this.ticker.nanos() - now.validUntilNanos() < 0;
+		return valid ? now.ownLease() : Optional.empty();
 	}
 
 	/**
-	 * Tells whether the lease may be taken now.
-	 * @return whether it is known to be absent, released, left over from this holder, or
-	 * unchanged for a whole period
+	 * Returns whether the lease may be acquired now.
+	 * @return whether the record was read and is absent, released, written by this holder
+	 * earlier, or unchanged for a whole period
 	 */
 	public boolean available() {
 		View now = this.view.get();
-		if (!now.known() || now.own().isPresent()) {
+		if (!now.known() || now.ownLease().isPresent()) {
 			return false;
 		}
 		return now.lease(this.name)
@@ -109,82 +110,81 @@
 	}
 
 	private boolean unchanged(View now, Lease lease) {
-		return this.ticker.nanos() - now.since() >= lease.period().toNanos();
+		return this.ticker.nanos() - now.firstSeenNanos() >= lease.period().toNanos();
 	}
 
 	/**
-	 * Reads the record.
-	 * @return completes when the record was taken note of
+	 * Reads the record from the store.
+	 * @return completes when the record has been read and processed
 	 */
 	public CompletableFuture<Void> refresh() {
 		return this.store.read(Lease.key(this.name)).thenAccept(this::observe);
 	}
 
 	/**
-	 * Takes note of the record as it was just read, by this keeper or with others in a
-	 * list.
+	 * Processes a record that was just read, by this keeper or as part of a list.
 	 * @param found the record, or empty if there is none
 	 */
 	public void observe(Optional<Stored> found) {
 		long now = this.ticker.nanos();
-		this.view.updateAndGet((last) -> last.observed(found, now));
+		this.view.updateAndGet((lastSeen) -> lastSeen.observed(found, now));
 	}
 
 	/**
-	 * Takes the lease, if it is free.
-	 * @return the lease, or empty if it was not free or another came first; fails if the
-	 * platform did not take the write
+	 * Acquires the lease if it is available.
+	 * @return the lease, or empty if it was not available or another process acquired it
+	 * first; fails if the platform did not accept the write
 	 */
 	public CompletableFuture<Optional<Lease>> acquire() {
-		return alone(this::acquireAlone, Optional::empty);
+		return exclusively(this::acquireExclusively, Optional::empty);
 	}
 
-	private CompletableFuture<Optional<Lease>> acquireAlone() {
+	private CompletableFuture<Optional<Lease>> acquireExclusively() {
 		if (!available()) {
 			return CompletableFuture.completedFuture(Optional.empty());
 		}
-		View last = this.view.get();
-		Lease next = last.lease(this.name)
+		View lastSeen = this.view.get();
+		Lease next = lastSeen.lease(this.name)
 			.orElseGet(() -> new Lease(this.name, 0, "", this.period))
 			.acquiredBy(this.holder, this.period);
-		return write(last.object(), next).thenApply((done) -> held());
+		return write(lastSeen.object(), next).thenApply((done) -> held());
 	}
 
 	/**
-	 * Renews the lease. A holder whose time has run out may try, too: if the record is
-	 * still its own, nobody has taken over.
-	 * @return whether the lease is held; fails if the platform did not take the write
+	 * Renews the lease. A holder whose validity has ended may renew as well: if the
+	 * record is still its own, no other process has acquired the lease.
+	 * @return whether the lease is held; fails if the platform did not accept the write
 	 */
 	public CompletableFuture<Boolean> renew() {
-		return alone(() -> {
-			View last = this.view.get();
-			if (last.own().isEmpty()) {
+		return exclusively(() -> {
+			View lastSeen = this.view.get();
+			if (lastSeen.ownLease().isEmpty()) {
 				return CompletableFuture.completedFuture(false);
 			}
-			return write(last.object(), last.own().get());
+			return write(lastSeen.object(), lastSeen.ownLease().get());
 		}, () -> held().isPresent());
 	}
 
 	/**
-	 * Releases the lease, so that another may take it at once. The keeper stops believing
-	 * before the write is sent, and lets a renewal under way come first, which would
-	 * otherwise revive the lease.
-	 * @return completes when the write has taken effect or failed; a release that failed
-	 * is made up for by the period
+	 * Releases the lease, so that another process can acquire it immediately. The keeper
+	 * stops holding the lease before the write is sent, and waits for a renewal in
+	 * progress, which would otherwise reinstate the lease.
+	 * @return completes when the write has succeeded or failed; after a failure the lease
+	 * expires at the end of its period
 	 */
 	public CompletableFuture<Void> release() {
-		this.resigned = true;
+		this.releasing = true;
 		return this.lastWrite.handle((done, failure) -> null)
-			.thenCompose((done) -> giveBack())
-			.whenComplete((done, failure) -> this.resigned = false);
+			.thenCompose((done) -> writeRelease())
+			.whenComplete((done, failure) -> this.releasing = false);
 	}
 
-	private CompletableFuture<Void> giveBack() {
-		View last = this.view.getAndUpdate(View::resigned);
-		if (last.own().isEmpty()) {
+	private CompletableFuture<Void> writeRelease() {
+		View lastSeen = this.view.getAndUpdate(View::withoutOwnLease);
+		if (lastSeen.ownLease().isEmpty()) {
 			return CompletableFuture.completedFuture(null);
 		}
-		return this.writer.update(last.object().orElseThrow(), last.own().get().asReleased().text())
+		return this.writer.update(lastSeen.object().orElseThrow(), lastSeen.ownLease().get().asReleased().text())
 			.handle((stored, failure) -> {
 				if (failure == null) {
 					observe(Optional.of(stored));
@@ -193,14 +193,14 @@
 			});
 	}
 
-	private CompletableFuture<Boolean> write(Optional<Stored> last, Lease next) {
-		long sent = this.ticker.nanos();
-		long until = sent + this.period.toNanos() - this.period.toNanos() / EARLY;
-		CompletableFuture<Stored> written = last.map((object) -> this.writer.update(object, next.text()))
+	private CompletableFuture<Boolean> write(Optional<Stored> lastSeen, Lease next) {
+		long sentNanos = this.ticker.nanos();
+		long validUntilNanos = sentNanos + this.period.toNanos() - this.period.toNanos() / SAFETY_MARGIN_DIVISOR;
+		CompletableFuture<Stored> written = lastSeen.map((object) -> this.writer.update(object, next.text()))
 			.orElseGet(() -> this.writer.create(Lease.key(this.name), next.text(), this.labels));
 		return written.handle((stored, failure) -> {
 			if (failure == null) {
-				change((view) -> view.held(stored, next, sent, until));
+				change((view) -> view.held(stored, next, sentNanos, validUntilNanos));
 				return CompletableFuture.completedFuture(true);
 			}
 			ErrorCode code = ConditionalWriter.codeOf(failure).orElse(ErrorCode.INTERNAL);
@@ -209,8 +209,9 @@
 				return CompletableFuture.completedFuture(false);
 			}
 			if (code == ErrorCode.STORE_OUTCOME_UNKNOWN) {
-				// A record that turns out to bear this holder's name is taken anew.
-				change((view) -> view.own().isEmpty() ? View.UNKNOWN : view);
+				// If the write turns out to have succeeded, this holder acquires the
+				// lease again.
+				change((view) -> view.ownLease().isEmpty() ? View.UNKNOWN : view);
 			}
 			return CompletableFuture.<Boolean>failedFuture(failure);
 		}).thenCompose((settled) -> settled);
@@ -220,8 +221,8 @@
 		this.view.updateAndGet(step);
 	}
 
-	private <T> CompletableFuture<T> alone(Supplier<CompletableFuture<T>> step, Supplier<T> otherwise) {
-		if (this.resigned || !this.writing.compareAndSet(false, true)) {
+	private <T> CompletableFuture<T> exclusively(Supplier<CompletableFuture<T>> step, Supplier<T> otherwise) {
+		if (this.releasing || !this.writing.compareAndSet(false, true)) {
 			return CompletableFuture.completedFuture(otherwise.get());
 		}
 		CompletableFuture<T> write = step.get().whenComplete((result, failure) -> this.writing.set(false));
@@ -230,15 +231,16 @@
 	}
 
 	/**
-	 * What a keeper knows.
+	 * The keeper's view of the record.
 	 *
 	 * @param known whether the record has been read
-	 * @param object the record as last seen, or empty if there was none
-	 * @param since when this version was first seen, by the ticker
-	 * @param own the lease, if this keeper wrote the version seen
-	 * @param until until when the keeper believes, by the ticker
+	 * @param object the last seen record, or empty if there was none
+	 * @param firstSeenNanos the ticker's reading when this version was first seen
+	 * @param ownLease the lease, if this keeper wrote the version seen
+	 * @param validUntilNanos the ticker's reading until which this keeper holds the lease
 	 */
-	private record View(boolean known, Optional<Stored> object, long since, Optional<Lease> own, long until) {
+	private record View(boolean known, Optional<Stored> object, long firstSeenNanos, Optional<Lease> ownLease,
+			long validUntilNanos) {
 
 		private static final View UNKNOWN = new View(false, Optional.empty(), 0, Optional.empty(), 0);
 
@@ -254,24 +256,26 @@
 			if (found.isEmpty() && this.known && this.object.isEmpty()) {
 				return this;
 			}
-			if (found.isPresent() && this.own.isPresent() && isRenewal(found.get())) {
-				return new View(true, found, now, this.own, this.until);
+			if (found.isPresent() && this.ownLease.isPresent() && isRenewal(found.get())) {
+				return new View(true, found, now, this.ownLease, this.validUntilNanos);
 			}
 			return new View(true, found, now, Optional.empty(), now);
 		}
 
-		// A list may show this keeper's own renewal before the answer to it arrives.
+		// A list may contain this keeper's own renewal before the response to the write
+		// arrives.
 		private boolean isRenewal(Stored found) {
-			return found.text().equals(this.own.get().text());
+			return found.text().equals(this.ownLease.get().text());
 		}
 
-		View held(Stored stored, Lease lease, long sent, long end) {
-			boolean overtaken = this.object.filter((object) -> object.version() > stored.version()).isPresent();
-			return overtaken ? this : new View(true, Optional.of(stored), sent, Optional.of(lease), end);
+		View held(Stored stored, Lease lease, long sentNanos, long validUntilNanos) {
+			boolean outdated = this.object.filter((object) -> object.version() > stored.version()).isPresent();
+			return outdated ? this
+					: new View(true, Optional.of(stored), sentNanos, Optional.of(lease), validUntilNanos);
 		}
 
-		View resigned() {
-			return new View(this.known, this.object, this.since, Optional.empty(), this.since);
+		View withoutOwnLease() {
+			return new View(this.known, this.object, this.firstSeenNanos, Optional.empty(), this.firstSeenNanos);
 		}
 
 	}
@@ -296,8 +300,8 @@
 		}
 
 		/**
-		 * Sets how long a lease holds after its last write.
-		 * @param period the period, 6 s if not set
+		 * Sets how long a lease is valid after its last write.
+		 * @param period the period; the default is 6 s
 		 * @return this builder
 		 */
 		public Builder period(Duration period) {
@@ -307,7 +311,7 @@
 
 		/**
 		 * Builds a keeper.
-		 * @param name what the lease is for
+		 * @param name the name of the lease
 		 * @return the keeper
 		 */
 		public LeaseKeeper build(String name) {
@@ -315,9 +319,9 @@
 		}
 
 		/**
-		 * Builds a keeper whose lease can be listed by labels.
-		 * @param name what the lease is for
-		 * @param labels the labels of its record
+		 * Builds a keeper whose record can be listed by labels.
+		 * @param name the name of the lease
+		 * @param labels the labels of the record
 		 * @return the keeper
 		 */
 		public LeaseKeeper build(String name, Labels labels) {
--- a/modules/core/src/main/java/org/ragworthook/core/lease/ShardLeases.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/ShardLeases.java
@@ -24,20 +24,20 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Spreads the leases of numbered shards over the entries. Each entry works out its own
- * share, takes free shards up to it and releases what it holds above it; no shard moves
- * otherwise.
+ * Distributes the leases of numbered shards over the entries. Each entry computes its own
+ * share, acquires available shards up to that number and releases shards above it; shards
+ * do not move otherwise.
  * <p>
- * The list of entries lags. With an entry on it that is gone, the shares leave shards to
- * nobody, and one would notice jobs that stand still. So a shard that has stayed free for
- * a whole period is taken by whoever sees it, above its share, and kept until the list of
- * entries changes.
+ * The list of entries is delayed. While it contains an entry that is gone, that entry's
+ * share would stay unowned and its jobs would stall. Therefore any entry acquires a shard
+ * that has been available for a whole period, beyond its share, and keeps it until the
+ * list of entries changes.
  */
 public final class ShardLeases implements AutoCloseable {
 
 	private static final int RENEWALS_PER_PERIOD = 3;
 
-	private static final Duration LOOK_SPREAD = Duration.ofMillis(50);
+	private static final Duration POLL_INTERVAL_PER_ENTRY = Duration.ofMillis(50);
 
 	private final Builder builder;
 
@@ -45,15 +45,15 @@
 
 	private final List<LeaseKeeper> keepers = new ArrayList<>();
 
-	private final Map<Integer, Lease> announced = new HashMap<>();
+	private final Map<Integer, Lease> announcedLeases = new HashMap<>();
 
-	private final Map<Integer, Long> freeSince = new HashMap<>();
+	private final Map<Integer, Long> availableSinceNanos = new HashMap<>();
 
-	private final Map<Integer, CompletableFuture<Void>> leaving = new HashMap<>();
+	private final Map<Integer, CompletableFuture<Void>> releasing = new HashMap<>();
 
 	private Set<String> lastEntries = Set.of();
 
-	private int extra;
+	private int extraShards;
 
 	private boolean closed;
 
@@ -68,8 +68,9 @@
 
 	/**
 	 * Returns a builder.
-	 * @param store where the leases are
-	 * @param stamps marks each write; the name of its writer is this entry's identity
+	 * @param store the store that holds the leases
+	 * @param stamps the marks that identify this process's writes; the writer name is the
+	 * id of this entry
 	 * @return the builder
 	 */
 	public static Builder builder(ObjectStore store, Stamps stamps) {
@@ -77,16 +78,16 @@
 	}
 
 	/**
-	 * Starts to take and to renew leases.
+	 * Starts acquiring and renewing leases.
 	 */
 	public void start() {
 		renewLoop();
-		lookLoop();
+		pollLoop();
 	}
 
 	/**
-	 * Returns the lease of a shard, as long as this entry may believe that it holds it.
-	 * @param shard the shard's number
+	 * Returns the lease of a shard while this entry holds it.
+	 * @param shard the number of the shard
 	 * @return the lease, or empty
 	 */
 	public Optional<Lease> held(int shard) {
@@ -95,31 +96,31 @@
 
 	/**
 	 * Returns the shards that this entry holds.
-	 * @return their numbers, ascending
+	 * @return the numbers of the shards, ascending
 	 */
 	public List<Integer> held() {
 		return IntStream.range(0, this.builder.shards).filter((shard) -> held(shard).isPresent()).boxed().toList();
 	}
 
 	/**
-	 * Looks for free shards now, such as when a peer says that it leaves. Costs one list,
-	 * and a write for each shard taken.
-	 * @return completes when the shards within reach are taken
+	 * Acquires available shards immediately, for example when a peer announces that it is
+	 * draining. Costs one list call, and one write per acquired shard.
+	 * @return completes when the available shards of this entry's share are acquired
 	 */
 	public CompletableFuture<Void> acquireFree() {
 		return this.builder.store.list(Kind.LEASE, this.group)
-			.thenCompose(this::settle)
+			.thenCompose(this::processListing)
 			.exceptionally((failure) -> null)
 			.thenRun(this::announce);
 	}
 
 	/**
-	 * Hands over all shards. The map takes none afterwards.
+	 * Releases all shards and stops acquiring new ones.
 	 * @return completes when the leases are released
 	 */
 	public CompletableFuture<Void> releaseAll() {
 		close();
-		return all(held(), this::handOver);
+		return allOf(held(), this::release);
 	}
 
 	@Override
@@ -134,36 +135,34 @@
 			return;
 		}
 		this.builder.timers.schedule(this.builder.period.dividedBy(RENEWALS_PER_PERIOD), this::renewLoop);
-		all(shards(), (shard) -> this.keepers.get(shard).renew()).thenRun(this::announce);
+		allOf(shards(), (shard) -> this.keepers.get(shard).renew()).thenRun(this::announce);
 	}
 
-	// Lapsed leases are renewed, too: after an outage in which nobody could take them
-	// over
-	// they come back under the same epoch.
+	// Includes lapsed leases: after an outage in which no other entry could acquire
+	// them, they are renewed under the same epoch.
 	private List<Integer> shards() {
 		return IntStream.range(0, this.builder.shards).boxed().toList();
 	}
 
-	// -- taking and giving
+	// -- acquisition and release
 
-	private void lookLoop() {
+	private void pollLoop() {
 		if (isClosed()) {
 			return;
 		}
-		acquireFree().whenComplete((done, failure) -> this.builder.timers.schedule(lookAgain(), this::lookLoop));
+		acquireFree().whenComplete((done, failure) -> this.builder.timers.schedule(nextPollDelay(), this::pollLoop));
 	}
 
-	// Each look lists the leases of all shards. One a second from each of 320 entries
-	// would
-	// be a sixth of all reads that the platform takes, and up to 90 KB/s for each entry;
-	// so
-	// together they look no more often than twenty times a second, however many they are.
-	private Duration lookAgain() {
-		Duration spread = LOOK_SPREAD.multipliedBy(this.builder.entries.get().size());
-		return (spread.compareTo(this.builder.pollInterval) > 0) ? spread : this.builder.pollInterval;
+	// Each poll lists the leases of all shards. With one poll per second from each of
+	// 320 entries, polling would use a sixth of the platform's read capacity and up to
+	// 90 KB/s per entry. The interval therefore grows with the number of entries, so
+	// that together they poll at most 20 times per second.
+	private Duration nextPollDelay() {
+		Duration sharedInterval = POLL_INTERVAL_PER_ENTRY.multipliedBy(this.builder.entries.get().size());
+		return (sharedInterval.compareTo(this.builder.pollInterval) > 0) ? sharedInterval : this.builder.pollInterval;
 	}
 
-	private CompletableFuture<Void> settle(Listing listing) {
+	private CompletableFuture<Void> processListing(Listing listing) {
 		Map<String, Stored> found = listing.objects()
 			.stream()
 			.collect(Collectors.toMap((stored) -> stored.key().name(), Function.identity()));
@@ -175,66 +174,66 @@
 		ShardShare share = share();
 		List<Integer> held = held();
 		if (held.size() > share.count()) {
-			return all(held.subList(share.count(), held.size()), this::handOver);
+			return allOf(held.subList(share.count(), held.size()), this::release);
 		}
-		return all(wanted(share, share.count() - held.size()), (shard) -> this.keepers.get(shard).acquire());
+		return allOf(shardsToAcquire(share, share.count() - held.size()), (shard) -> this.keepers.get(shard).acquire());
 	}
 
 	private synchronized ShardShare share() {
 		Set<String> entries = this.builder.entries.get();
 		if (!entries.equals(this.lastEntries)) {
 			this.lastEntries = Set.copyOf(entries);
-			this.extra = 0;
+			this.extraShards = 0;
 		}
 		ShardShare share = ShardShare.of(this.builder.shards, entries, this.builder.self);
-		return new ShardShare(share.count() + this.extra, share.firstShard());
+		return new ShardShare(share.count() + this.extraShards, share.firstShard());
 	}
 
-	private synchronized List<Integer> wanted(ShardShare share, int lacking) {
+	private synchronized List<Integer> shardsToAcquire(ShardShare share, int missing) {
 		long now = this.builder.ticker.nanos();
-		List<Integer> wanted = new ArrayList<>();
+		List<Integer> selected = new ArrayList<>();
 		for (int step = 0; step < this.builder.shards; step++) {
 			int shard = (share.firstShard() + step) % this.builder.shards;
 			if (!this.keepers.get(shard).available()) {
-				this.freeSince.remove(shard);
+				this.availableSinceNanos.remove(shard);
 				continue;
 			}
-			long since = this.freeSince.computeIfAbsent(shard, (key) -> now);
-			boolean unwanted = now - since >= this.builder.period.toNanos();
-			if (wanted.size() < lacking) {
-				wanted.add(shard);
+			long since = this.availableSinceNanos.computeIfAbsent(shard, (key) -> now);
+			boolean unclaimed = now - since >= this.builder.period.toNanos();
+			if (selected.size() < missing) {
+				selected.add(shard);
 			}
-			else if (unwanted) {
-				wanted.add(shard);
-				this.extra++;
+			else if (unclaimed) {
+				selected.add(shard);
+				this.extraShards++;
 			}
 		}
-		return wanted;
+		return selected;
 	}
 
-	private CompletableFuture<Void> handOver(int shard) {
+	private CompletableFuture<Void> release(int shard) {
 		LeaseKeeper keeper = this.keepers.get(shard);
 		Optional<Lease> lease = keeper.held();
 		if (lease.isEmpty()) {
 			return CompletableFuture.completedFuture(null);
 		}
 		synchronized (this) {
-			if (this.leaving.containsKey(shard)) {
-				return this.leaving.get(shard);
+			if (this.releasing.containsKey(shard)) {
+				return this.releasing.get(shard);
 			}
-			this.leaving.put(shard, new CompletableFuture<>());
+			this.releasing.put(shard, new CompletableFuture<>());
 		}
 		return this.builder.listener.releasing(shard, lease.get())
 			.exceptionally((failure) -> null)
 			.thenCompose((ready) -> keeper.release())
-			.whenComplete((done, failure) -> left(shard));
+			.whenComplete((done, failure) -> released(shard));
 	}
 
-	private void left(int shard) {
+	private void released(int shard) {
 		CompletableFuture<Void> done;
 		synchronized (this) {
-			this.announced.remove(shard);
-			done = this.leaving.remove(shard);
+			this.announcedLeases.remove(shard);
+			done = this.releasing.remove(shard);
 		}
 		done.complete(null);
 	}
@@ -250,14 +249,15 @@
 	private void announce(int shard, Optional<Lease> lease) {
 		Optional<Lease> before;
 		synchronized (this) {
-			if (this.leaving.containsKey(shard)) {
+			if (this.releasing.containsKey(shard)) {
 				return;
 			}
-			before = Optional.ofNullable(this.announced.get(shard));
+			before = Optional.ofNullable(this.announcedLeases.get(shard));
 			if (before.equals(lease)) {
 				return;
 			}
-			lease.ifPresentOrElse((now) -> this.announced.put(shard, now), () -> this.announced.remove(shard));
+			lease.ifPresentOrElse((now) -> this.announcedLeases.put(shard, now),
+					() -> this.announcedLeases.remove(shard));
 		}
 		before.ifPresent((old) -> this.builder.listener.lost(shard, old));
 		lease.ifPresent((now) -> this.builder.listener.acquired(shard, now));
@@ -267,14 +267,14 @@
 		return this.closed;
 	}
 
-	private static CompletableFuture<Void> all(List<Integer> shards, Function<Integer, CompletableFuture<?>> step) {
+	private static CompletableFuture<Void> allOf(List<Integer> shards, Function<Integer, CompletableFuture<?>> step) {
 		return CompletableFuture.allOf(shards.stream()
 			.map((shard) -> step.apply(shard).handle((done, failure) -> null))
 			.toArray(CompletableFuture[]::new));
 	}
 
 	/**
-	 * Builds a shard map.
+	 * Builds {@link ShardLeases}.
 	 */
 	public static final class Builder {
 
@@ -309,7 +309,7 @@
 		/**
 		 * Sets the clock and the timers.
 		 * @param ticker the monotonic clock
-		 * @param timers run the renewals
+		 * @param timers the timers that schedule renewals and polls
 		 * @return this builder
 		 */
 		public Builder time(Ticker ticker, Timers timers) {
@@ -319,7 +319,7 @@
 		}
 
 		/**
-		 * Sets who is told of shards taken and lost.
+		 * Sets the listener for acquired, lost and released shards.
 		 * @param listener the listener
 		 * @return this builder
 		 */
@@ -329,8 +329,8 @@
 		}
 
 		/**
-		 * Sets where the identities of all entries that are not leaving come from.
-		 * @param entries the identities, as the instance list or the links know them
+		 * Sets the source of the ids of all entries that are not draining.
+		 * @param entries supplies the ids, from the instance list or the links
 		 * @return this builder
 		 */
 		public Builder entries(Supplier<Set<String>> entries) {
@@ -339,8 +339,8 @@
 		}
 
 		/**
-		 * Sets this entry's own identity among the entries.
-		 * @param self the identity; the name of the stamps' writer if not set
+		 * Sets the id of this entry.
+		 * @param self the id; the default is the writer name of the stamps
 		 * @return this builder
 		 */
 		public Builder self(String self) {
@@ -349,9 +349,10 @@
 		}
 
 		/**
-		 * Sets the leases' name and number. All entries must agree on them.
-		 * @param group the common part of the names
-		 * @param shards how many there are
+		 * Sets the names and the number of the leases, which must be the same for all
+		 * entries.
+		 * @param group the common prefix of the names
+		 * @param shards the number of shards
 		 * @return this builder
 		 */
 		public Builder shards(String group, int shards) {
@@ -361,8 +362,9 @@
 		}
 
 		/**
-		 * Sets how long a lease holds after its last write.
-		 * @param period the period, 6 s if not set; renewed three times in it
+		 * Sets how long a lease is valid after its last write.
+		 * @param period the period, in which a lease is renewed three times; the default
+		 * is 6 s
 		 * @return this builder
 		 */
 		public Builder period(Duration period) {
@@ -371,18 +373,18 @@
 		}
 
 		/**
-		 * Sets how often to look for free shards. Each look costs one list.
-		 * @param pollInterval the pause between two looks, 1 s if not set
+		 * Sets how often to poll for available shards. Each poll costs one list call.
+		 * @param pollInterval the minimum time between two polls; the default is 1 s
 		 * @return this builder
 		 */
 		public Builder pollInterval(Duration pollInterval) {
-			this.pollInterval = Objects.requireNonNull(pollInterval, "lookEvery is null");
+			this.pollInterval = Objects.requireNonNull(pollInterval, "pollInterval is null");
 			return this;
 		}
 
 		/**
-		 * Builds the map.
-		 * @return a map that is not started yet
+		 * Builds the leases.
+		 * @return leases that are not started yet
 		 */
 		public ShardLeases build() {
 			Objects.requireNonNull(this.timers, "timers is null");
--- a/modules/core/src/main/java/org/ragworthook/core/lease/ShardListener.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/ShardListener.java
@@ -3,30 +3,31 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is told which shards this process is in charge of.
+ * Receives notifications about the shards that this process holds.
  */
 public interface ShardListener {
 
 	/**
-	 * Takes over a shard, or goes on with it after its lease had lapsed.
-	 * @param shard the shard's number
-	 * @param lease the lease with the epoch to act by
+	 * Called when a shard has been acquired, or its lapsed lease has been renewed.
+	 * @param shard the number of the shard
+	 * @param lease the lease, whose epoch fences the work on the shard
 	 */
 	void acquired(int shard, Lease lease);
 
 	/**
-	 * Stops work on a shard, whose lease has lapsed or was taken over.
-	 * @param shard the shard's number
+	 * Called when the lease of a shard has lapsed or was taken over; work on the shard
+	 * must stop.
+	 * @param shard the number of the shard
 	 * @param lease the lease as it was held
 	 */
 	void lost(int shard, Lease lease);
 
 	/**
-	 * Brings a shard's work to a point from which another can go on. The lease is
-	 * released afterwards.
-	 * @param shard the shard's number
-	 * @param lease the lease as it is held
-	 * @return completes when the shard may be handed over
+	 * Called before a shard is released. The listener brings the work to a point from
+	 * which another process can continue; the lease is released afterwards.
+	 * @param shard the number of the shard
+	 * @param lease the lease that is held
+	 * @return completes when the shard may be released
 	 */
 	CompletableFuture<Void> releasing(int shard, Lease lease);
 
--- a/modules/core/src/main/java/org/ragworthook/core/lease/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Leases on shards of the work: who is in charge of a shard, and with which epoch. A
- * lease is a belief that saves work; what must not happen twice is decided by conditional
- * writes and by the epoch, which fences whatever an earlier holder still sends.
+ * Leases on shards of work: which process owns a shard, and under which epoch. Holding a
+ * lease is only an assumption that avoids duplicate work; exclusion is enforced by
+ * conditional writes and by the epoch, a fencing token that lets receivers reject what an
+ * earlier holder still sends.
  */
 package org.ragworthook.core.lease;
--- a/modules/core/src/test/java/org/ragworthook/core/lease/LeaseKeeperTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/lease/LeaseKeeperTests.java
@@ -38,7 +38,7 @@
 		return LeaseKeeper.builder(this.faulty, Stamps.of(holder), this.time).period(PERIOD).build(NAME);
 	}
 
-	private Optional<Lease> lookAndTake(LeaseKeeper keeper) {
+	private Optional<Lease> refreshAndAcquire(LeaseKeeper keeper) {
 		keeper.refresh().join();
 		return keeper.acquire().join();
 	}
@@ -49,18 +49,18 @@
 	}
 
 	@Test
-	void shouldTakeAbsentLease() {
-		assertThat(lookAndTake(this.first)).hasValue(new Lease(NAME, 1, "entry-a", PERIOD));
+	void shouldAcquireAbsentLease() {
+		assertThat(refreshAndAcquire(this.first)).hasValue(new Lease(NAME, 1, "entry-a", PERIOD));
 		assertThat(this.first.held()).isPresent();
 	}
 
 	@Test
-	void shouldNotTakeWithoutHavingLooked() {
+	void shouldNotAcquireBeforeReadingRecord() {
 		assertThat(this.first.acquire().join()).isEmpty();
 	}
 
 	@Test
-	void shouldLetOneOfTwoTakersWin() {
+	void shouldGrantLeaseToOnlyOneOfTwoKeepers() {
 		this.first.refresh().join();
 		this.second.refresh().join();
 		assertThat(this.first.acquire().join()).isPresent();
@@ -70,7 +70,7 @@
 
 	@Test
 	void shouldKeepEpochWhenRenewed() {
-		lookAndTake(this.first);
+		refreshAndAcquire(this.first);
 		for (int round = 0; round < 10; round++) {
 			this.time.advance(PERIOD.dividedBy(3));
 			this.second.refresh().join();
@@ -80,25 +80,24 @@
 		assertThat(this.first.held()).hasValue(new Lease(NAME, 1, "entry-a", PERIOD));
 	}
 
-	// The holder stops, for instance because its instance was lost. Until another entry
-	// takes
-	// the shard over its jobs stand still, which their owner notices as a late result.
+	// The holder stops, for example because its instance was lost. Until another entry
+	// acquires the lease, the jobs of the shard stall.
 	@Test
-	void shouldTakeOverAfterWholePeriodWithoutChange() {
-		lookAndTake(this.first);
+	void shouldAcquireAfterWholePeriodWithoutChange() {
+		refreshAndAcquire(this.first);
 		this.second.refresh().join();
 		this.time.advance(PERIOD.minus(MOMENT));
-		assertThat(lookAndTake(this.second)).isEmpty();
+		assertThat(refreshAndAcquire(this.second)).isEmpty();
 		this.time.advance(MOMENT);
-		assertThat(lookAndTake(this.second)).hasValue(new Lease(NAME, 2, "entry-b", PERIOD));
+		assertThat(refreshAndAcquire(this.second)).hasValue(new Lease(NAME, 2, "entry-b", PERIOD));
 	}
 
-	// A write can be under way for seconds. Counted from its answer, the holder's time
-	// would
-	// last longer than the taker waits, and a caller would see an item run twice at once.
+	// A write may take seconds. If validity were measured from its response, the holder
+	// would still act after another process has acquired the lease, and an item could
+	// run twice at the same time.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1_000, 3_000, 5_000, 5_999, 9_000 })
-	void shouldStopBelievingBeforeTakerMayAct(long delayMillis) {
+	void shouldStopHoldingBeforeLeaseIsAvailableToOthers(long delayMillis) {
 		this.first.refresh().join();
 		this.faulty.plan(Fault.DELAYED);
 		this.first.acquire();
@@ -112,11 +111,10 @@
 		assertThat(this.first.held()).isEmpty();
 	}
 
-	// The platform takes the write and the answer is lost on the way back. If the holder
-	// did
-	// not find out, nobody would work on the shard for a whole period.
+	// The platform applies the write, but the response is lost. If the holder did not
+	// detect this, the shard would be idle for a whole period.
 	@Test
-	void shouldFindOwnWriteAfterLostAnswer() {
+	void shouldDetectOwnWriteAfterLostResponse() {
 		this.first.refresh().join();
 		this.faulty.plan((call) -> call.writes() ? Fault.ANSWER_LOST : Fault.NONE);
 		assertThat(this.first.acquire().join()).isPresent();
@@ -124,45 +122,41 @@
 		assertThat(record().epoch()).isEqualTo(1);
 	}
 
-	// The answer is lost and the platform cannot be read either. The keeper must not
-	// believe;
-	// later it takes its own left-over at once, with an epoch above what it may have
-	// sent.
+	// The response is lost and the platform cannot be read. The keeper must not assume
+	// that it holds the lease; later it acquires its own record immediately, with an
+	// epoch above any that it may have used.
 	@Test
-	void shouldTakeOwnLeftOverWithHigherEpoch() {
+	void shouldAcquireOwnEarlierRecordWithHigherEpoch() {
 		this.first.refresh().join();
 		this.faulty.plan((call) -> call.writes() ? Fault.ANSWER_LOST : Fault.REFUSED);
 		assertThat(this.first.acquire().isCompletedExceptionally()).isTrue();
 		assertThat(this.first.held()).isEmpty();
 		this.faulty.plan(Fault.NONE);
-		assertThat(lookAndTake(this.first)).hasValue(new Lease(NAME, 2, "entry-a", PERIOD));
+		assertThat(refreshAndAcquire(this.first)).hasValue(new Lease(NAME, 2, "entry-a", PERIOD));
 	}
 
-	// The holder's process is halted, by its machine or by a long collection of memory,
-	// and
-	// wakes after the take-over. It must find itself deposed, else two entries would
-	// work.
+	// The holder's process is paused, by its host or by garbage collection, and resumes
+	// after another entry has acquired the lease. It must detect this, or two entries
+	// would work on the shard.
 	@Test
-	void shouldFindItselfDeposedAfterPause() {
-		lookAndTake(this.first);
+	void shouldDetectLossOfLeaseAfterPause() {
+		refreshAndAcquire(this.first);
 		this.second.refresh().join();
 		this.time.advance(PERIOD);
-		assertThat(lookAndTake(this.second)).isPresent();
+		assertThat(refreshAndAcquire(this.second)).isPresent();
 		assertThat(this.first.held()).isEmpty();
 		assertThat(this.first.renew().join()).isFalse();
-		assertThat(lookAndTake(this.first)).isEmpty();
+		assertThat(refreshAndAcquire(this.first)).isEmpty();
 		assertThat(record().holder()).isEqualTo("entry-b");
 	}
 
-	// The platform is out for an hour and nobody can take over. Afterwards the holder
-	// goes
-	// on
-	// under the same epoch, so that running items are not refused as those of an older
-	// one.
+	// The platform is unavailable for an hour and no other entry can acquire the lease.
+	// Afterwards the holder continues under the same epoch, so that its running items
+	// are not rejected as outdated.
 	@ParameterizedTest
 	@EnumSource(names = { "REFUSED", "REQUEST_LOST" })
-	void shouldGoOnWithSameEpochAfterOutage(Fault fault) {
-		lookAndTake(this.first);
+	void shouldContinueWithSameEpochAfterOutage(Fault fault) {
+		refreshAndAcquire(this.first);
 		this.faulty.plan(fault);
 		for (int minute = 0; minute < 60; minute++) {
 			this.time.advance(Duration.ofMinutes(1));
@@ -175,31 +169,30 @@
 	}
 
 	@Test
-	void shouldHandOverAtOnceWhenReleased() {
-		lookAndTake(this.first);
+	void shouldBeAvailableImmediatelyAfterRelease() {
+		refreshAndAcquire(this.first);
 		this.first.release().join();
 		assertThat(this.first.held()).isEmpty();
 		assertThat(record()).isEqualTo(new Lease(NAME, 1, "", PERIOD));
-		assertThat(lookAndTake(this.second)).hasValue(new Lease(NAME, 2, "entry-b", PERIOD));
+		assertThat(refreshAndAcquire(this.second)).hasValue(new Lease(NAME, 2, "entry-b", PERIOD));
 	}
 
-	// The release itself is refused by the platform. The leaving entry may not go on
-	// believing;
-	// the shard is taken over after a period as if the entry had been lost.
+	// The platform rejects the release. The entry must not hold the lease any longer;
+	// another entry acquires it after a period, as if the first had been lost.
 	@Test
-	void shouldStopBelievingAlsoWhenReleaseFails() {
-		lookAndTake(this.first);
+	void shouldNotHoldLeaseAfterFailedRelease() {
+		refreshAndAcquire(this.first);
 		this.second.refresh().join();
 		this.faulty.plan(Fault.REFUSED);
 		this.first.release().join();
 		this.faulty.plan(Fault.NONE);
 		assertThat(this.first.held()).isEmpty();
 		this.time.advance(PERIOD);
-		assertThat(lookAndTake(this.second)).isPresent();
+		assertThat(refreshAndAcquire(this.second)).isPresent();
 	}
 
 	@Test
-	void shouldReadItsRecordBack() {
+	void shouldParseItsOwnRecord() {
 		Lease lease = new Lease(NAME, 42, "entry-a", PERIOD);
 		assertThat(Lease.parse(NAME, lease.text())).isEqualTo(lease);
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/lease/ShardLeasesTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/lease/ShardLeasesTests.java
@@ -41,24 +41,24 @@
 		this.listed.add(name);
 		Entry entry = new Entry(name, shards);
 		this.entries.put(name, entry);
-		entry.map.start();
+		entry.leases.start();
 		return entry;
 	}
 
-	private List<Integer> counts() {
-		return this.entries.values().stream().map((entry) -> entry.map.held().size()).sorted().toList();
+	private List<Integer> shardCounts() {
+		return this.entries.values().stream().map((entry) -> entry.leases.held().size()).sorted().toList();
 	}
 
 	private int heldShards() {
 		return this.entries.values()
 			.stream()
-			.flatMap((entry) -> entry.map.held().stream())
+			.flatMap((entry) -> entry.leases.held().stream())
 			.collect(Collectors.toSet())
 			.size();
 	}
 
 	@Property(tries = 200, seed = "5")
-	void shouldSumSharesToAllShards(@ForAll @IntRange(max = 400) int shards,
+	void shouldComputeSharesThatAddUpToAllShards(@ForAll @IntRange(max = 400) int shards,
 			@ForAll @IntRange(min = 1, max = 330) int entries) {
 		Set<String> names = IntStream.range(0, entries).mapToObj((rank) -> "e" + rank).collect(Collectors.toSet());
 		List<ShardShare> shares = names.stream().map((name) -> ShardShare.of(shards, names, name)).toList();
@@ -74,77 +74,74 @@
 		IntStream.range(0, entries).forEach((rank) -> start("e" + rank, shards));
 		this.time.advance(Duration.ofSeconds(3));
 		assertThat(heldShards()).isEqualTo(shards);
-		assertThat(counts().get(entries - 1) - counts().get(0)).isAtMost(1);
+		assertThat(shardCounts().get(entries - 1) - shardCounts().get(0)).isAtMost(1);
 	}
 
 	@Test
-	void shouldMoveOnlySurplusToNewcomer() {
+	void shouldMoveOnlySurplusToNewEntry() {
 		start("a", 24);
 		start("b", 24);
 		this.time.advance(Duration.ofSeconds(3));
-		List<Integer> before = this.entries.get("a").map.held();
+		List<Integer> before = this.entries.get("a").leases.held();
 		start("c", 24);
 		this.time.advance(Duration.ofSeconds(3));
-		assertThat(counts()).containsExactly(8, 8, 8);
-		assertThat(before).containsAtLeastElementsIn(this.entries.get("a").map.held());
+		assertThat(shardCounts()).containsExactly(8, 8, 8);
+		assertThat(before).containsAtLeastElementsIn(this.entries.get("a").leases.held());
 	}
 
-	// An entry is lost without a word. The shards it held stand still until the others
-	// take
-	// them, which callers notice as jobs without progress.
+	// An entry is lost without releasing its shards. Jobs in these shards make no
+	// progress until other entries acquire them.
 	@Test
-	void shouldTakeOverLostEntryWithinTwoPeriods() {
+	void shouldAcquireShardsOfLostEntryWithinTwoPeriods() {
 		start("a", 12);
 		start("b", 12);
 		this.time.advance(Duration.ofSeconds(10));
-		this.entries.get("b").die();
+		this.entries.get("b").crash();
 		this.listed.remove("b");
 		this.time.advance(PERIOD.multipliedBy(2));
-		assertThat(this.entries.get("a").map.held()).hasSize(12);
+		assertThat(this.entries.get("a").leases.held()).hasSize(12);
 	}
 
-	// The platform's list still names an entry that is gone. Its shares would belong to
-	// nobody
-	// and their jobs would never be worked on.
+	// The platform's list still contains an entry that is gone. Without further
+	// measures its share would stay unowned and the jobs would never run.
 	@Test
-	void shouldTakeShardsThatNobodyTakes() {
-		this.listed.add("ghost");
+	void shouldAcquireUnclaimedShardsBeyondShare() {
+		this.listed.add("gone");
 		start("a", 12);
 		this.time.advance(PERIOD.multipliedBy(2));
-		assertThat(this.entries.get("a").map.held()).hasSize(12);
+		assertThat(this.entries.get("a").leases.held()).hasSize(12);
 		this.time.advance(PERIOD.multipliedBy(4));
-		assertThat(this.entries.get("a").events.stream().filter((event) -> event.startsWith("leaving"))).isEmpty();
+		assertThat(this.entries.get("a").events.stream().filter((event) -> event.startsWith("releasing"))).isEmpty();
 	}
 
 	@Test
-	void shouldHandOverWithinOneSecondWhenLeaving() {
+	void shouldHandOverWithinOneSecondWhenReleased() {
 		start("a", 12);
 		start("b", 12);
 		this.time.advance(Duration.ofSeconds(10));
 		this.listed.remove("b");
-		this.entries.get("b").map.releaseAll().join();
+		this.entries.get("b").leases.releaseAll().join();
 		this.time.advance(Duration.ofSeconds(1));
-		assertThat(this.entries.get("a").map.held()).hasSize(12);
+		assertThat(this.entries.get("a").leases.held()).hasSize(12);
 	}
 
-	// The platform is out for longer than a lease lasts. The entry must stop its work and
-	// say
-	// so to its parts, and go on by itself once the platform is back.
+	// The platform is unavailable for longer than a lease is valid. The entry must stop
+	// its work and notify its listener, and continue when the platform is back.
 	@Test
-	void shouldStopWhileStoreIsOutAndGoOnAfterwards() {
+	void shouldStopDuringStoreOutageAndContinueAfterwards() {
 		Entry entry = start("a", 2);
 		this.time.advance(Duration.ofSeconds(3));
 		entry.faulty.plan(Fault.REFUSED);
 		this.time.advance(Duration.ofHours(1));
-		assertThat(entry.map.held()).isEmpty();
-		assertThat(entry.events).containsExactly("taken 0@1", "taken 1@1", "lost 0@1", "lost 1@1");
+		assertThat(entry.leases.held()).isEmpty();
+		assertThat(entry.events).containsExactly("acquired 0@1", "acquired 1@1", "lost 0@1", "lost 1@1");
 		entry.faulty.plan(Fault.NONE);
 		this.time.advance(Duration.ofSeconds(3));
-		assertThat(entry.events.subList(4, 6)).containsExactly("taken 0@1", "taken 1@1");
+		assertThat(entry.events.subList(4, 6)).containsExactly("acquired 0@1", "acquired 1@1");
 	}
 
 	@Test
-	void shouldStayWithinBudgetOfCalls() {
+	void shouldLimitNumberOfStoreCalls() {
 		Entry entry = start("a", 12);
 		this.time.advance(Duration.ofSeconds(10));
 		int before = entry.faulty.calls().size();
@@ -154,18 +151,18 @@
 	}
 
 	/**
-	 * Many entries look at all leases. Were each to look once a second, their reads alone
-	 * would take a sixth of the platform's, and jobs and cancels would be slowed.
+	 * Every entry polls all leases. With one poll per second each, 320 entries would use
+	 * a sixth of the platform's read capacity and slow down jobs and cancellations.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "3, 60", "20, 60", "320, 4" })
-	void shouldLookMoreSeldomTheMoreEntriesThereAre(int entries, int mostLooksInAMinute) {
+	void shouldPollLessOftenWithMoreEntries(int entries, int maxPollsPerMinute) {
 		IntStream.range(0, entries).forEach((rank) -> this.listed.add("other-" + rank));
 		Entry entry = start("a", 1);
 		this.time.advance(Duration.ofSeconds(30));
 		int before = entry.faulty.calls().size();
 		this.time.advance(Duration.ofSeconds(60));
-		assertThat(entry.faulty.calls().size() - before).isAtMost(mostLooksInAMinute + 31);
+		assertThat(entry.faulty.calls().size() - before).isAtMost(maxPollsPerMinute + 31);
 	}
 
 	private final class Entry implements ShardListener {
@@ -174,10 +171,10 @@
 
 		private final List<String> events = new ArrayList<>();
 
-		private final ShardLeases map;
+		private final ShardLeases leases;
 
 		Entry(String name, int shards) {
-			this.map = ShardLeases.builder(this.faulty, Stamps.of(name))
+			this.leases = ShardLeases.builder(this.faulty, Stamps.of(name))
 				.time(ShardLeasesTests.this.time, ShardLeasesTests.this.time)
 				.listener(this)
 				.entries(() -> Set.copyOf(ShardLeasesTests.this.listed))
@@ -186,13 +183,13 @@
 				.build();
 		}
 
-		void die() {
+		void crash() {
 			this.faulty.plan(Fault.DEAD_BEFORE);
 		}
 
 		@Override
 		public void acquired(int shard, Lease lease) {
-			this.events.add("taken " + shard + "@" + lease.epoch());
+			this.events.add("acquired " + shard + "@" + lease.epoch());
 		}
 
 		@Override
@@ -202,7 +199,7 @@
 
 		@Override
 		public CompletableFuture<Void> releasing(int shard, Lease lease) {
-			this.events.add("leaving " + shard + "@" + lease.epoch());
+			this.events.add("releasing " + shard + "@" + lease.epoch());
 			return CompletableFuture.completedFuture(null);
 		}
 
--- a/modules/core/src/test/java/org/ragworthook/core/lease/package-info.java
+++ b/modules/core/src/test/java/org/ragworthook/core/lease/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of leases and of their spread over the entries.
+ * Tests of leases and their distribution over the entries.
  */
 package org.ragworthook.core.lease;
