--- a/modules/core/src/main/java/org/ragworthook/core/claim/ClaimAnswer.java
+++ b/modules/core/src/main/java/org/ragworthook/core/claim/ClaimAnswer.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * The answer to a request that was claimed and has finished, kept for a caller that sends
- * it again.
+ * The response to a finished request with a claim, cached for callers that resend the
+ * request.
  *
- * @param status the HTTP status
+ * @param status the HTTP status code
  * @param contentType the content type
- * @param body the body
+ * @param body the response body
  */
 public record ClaimAnswer(int status, String contentType, String body) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public ClaimAnswer {
 		Objects.requireNonNull(contentType, "contentType is null");
--- a/modules/core/src/main/java/org/ragworthook/core/claim/ClaimKey.java
+++ b/modules/core/src/main/java/org/ragworthook/core/claim/ClaimKey.java
@@ -5,9 +5,9 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * An account's idempotency key, as it is recorded.
+ * The recorded form of an account's idempotency key.
  *
- * @param hex a hash of the account and its key, 32 hexadecimal digits
+ * @param hex the hash of the account and its idempotency key, 32 hexadecimal digits
  */
 public record ClaimKey(String hex) {
 
@@ -16,7 +16,7 @@
 	private static final int SHARD_DIGITS = 15;
 
 	/**
-	 * Checks that the hash is there.
+	 * Checks that the hash is present.
 	 */
 	public ClaimKey {
 		Objects.requireNonNull(hex, "hex is null");
@@ -24,8 +24,8 @@
 
 	/**
 	 * Returns the key of a request.
-	 * @param account the account that sends it
-	 * @param idempotencyKey the account's own key
+	 * @param account the name of the account
+	 * @param idempotencyKey the idempotency key sent by the account
 	 * @return the key
 	 */
 	public static ClaimKey of(String account, String idempotencyKey) {
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * Returns the shard that the key belongs to.
-	 * @param shards how many shards there are
-	 * @return the shard's number
+	 * Returns the shard of the key.
+	 * @param shards the number of shards
+	 * @return the number of the shard
 	 */
 	public int shard(int shards) {
 		return (int) (Long.parseLong(this.hex.substring(0, SHARD_DIGITS), 16) % shards);
--- a/modules/core/src/main/java/org/ragworthook/core/claim/ClaimLog.java
+++ b/modules/core/src/main/java/org/ragworthook/core/claim/ClaimLog.java
@@ -26,21 +26,22 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * The log of claims on the keys of one shard. Claims that come while a write is under way
- * are written together with the next one.
+ * The log of claims on the keys of one shard. Claims that arrive during a write are
+ * batched into the next write.
  * <p>
- * Segments are numbered without a gap and each is made by a conditional create. A new
- * owner reads to the end and appends a barrier. An owner that was paused and does not
- * know that it was deposed finds the barrier where its next segment should be; without it
- * both would grant the same key, and one would notice a booking that was made twice.
+ * Segments are numbered consecutively, and each is written with a conditional create. A
+ * new owner reads the log to its end and appends a barrier. A paused owner that does not
+ * know that it has been deposed then finds the barrier at the number of its next segment.
+ * Without the barrier both owners could grant the same key, and a request such as a
+ * booking could run twice.
  */
 public final class ClaimLog {
 
-	private static final int MOST_IN_SEGMENT = 4_000;
+	private static final int MAX_CLAIMS_PER_SEGMENT = 4_000;
 
-	private static final int MOST_ANSWERS = 1_000;
+	private static final int MAX_CACHED_ANSWERS = 1_000;
 
-	private static final int MOST_ANSWER_CHARACTERS = 16_384;
+	private static final int MAX_ANSWER_CHARACTERS = 16_384;
 
 	private final ObjectStore store;
 
@@ -54,22 +55,22 @@
 
 	private final SerialExecutor serial = new SerialExecutor();
 
-	private final Map<ClaimKey, String> granted = new HashMap<>();
+	private final Map<ClaimKey, String> grantedFingerprints = new HashMap<>();
 
 	private final TreeMap<Long, Stored> segments = new TreeMap<>();
 
-	private final List<Waiting> waiting = new ArrayList<>();
+	private final List<PendingClaim> pending = new ArrayList<>();
 
 	private final Map<ClaimKey, ClaimAnswer> answers = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<ClaimKey, ClaimAnswer> eldest) {
-			return size() > MOST_ANSWERS;
+			return size() > MAX_CACHED_ANSWERS;
 		}
 
 	};
 
-	private long next;
+	private long nextSequence;
 
 	private boolean writing;
 
@@ -85,18 +86,18 @@
 
 	/**
 	 * Opens the log of a shard for its owner.
-	 * @param store where the log is
-	 * @param stamps marks each write
-	 * @param clock the time of day
-	 * @param shard the shard's number
-	 * @param lease the owner's lease
-	 * @return the log, once its barrier is written; fails with {@code STORE_CONFLICT} if
-	 * a later owner has opened it
+	 * @param store the store that holds the log
+	 * @param stamps the marks that identify this process's writes
+	 * @param clock the wall clock
+	 * @param shard the number of the shard
+	 * @param lease the lease of the owner
+	 * @return completes when the barrier has been written; fails with {@code
+	 * STORE_CONFLICT} if a later owner has opened the log
 	 */
 	public static CompletableFuture<ClaimLog> open(ObjectStore store, Stamps stamps, InstantSource clock, int shard,
 			Lease lease) {
 		ClaimLog log = new ClaimLog(store, stamps, clock, shard, lease);
-		return log.read().thenCompose((read) -> log.barrier()).thenApply((done) -> log);
+		return log.read().thenCompose((read) -> log.writeBarrier()).thenApply((done) -> log);
 	}
 
 	private Labels labels() {
@@ -122,32 +123,32 @@
 
 	private void add(long sequence, Stored stored) {
 		this.segments.put(sequence, stored);
-		this.granted.putAll(ClaimSegment.parse(stored.text()).claims());
-		this.next = sequence + 1;
+		this.grantedFingerprints.putAll(ClaimSegment.parse(stored.text()).claims());
+		this.nextSequence = sequence + 1;
 	}
 
-	// The one before may still write: its segment takes the number, and the barrier goes
-	// behind it.
-	private CompletableFuture<Void> barrier() {
+	// The previous owner may still write: its segment then takes the number, and the
+	// barrier is appended after it.
+	private CompletableFuture<Void> writeBarrier() {
 		String text = ClaimSegment.barrier(this.epoch, this.clock.millis()).text();
-		long sequence = this.next;
+		long sequence = this.nextSequence;
 		return append(sequence, text).handle((stored, failure) -> {
 			if (failure == null) {
 				add(sequence, stored);
 				return CompletableFuture.<Void>completedFuture(null);
 			}
-			return is(failure, ErrorCode.STORE_CONFLICT) ? passOver(sequence, failure)
+			return hasCode(failure, ErrorCode.STORE_CONFLICT) ? acceptEarlierSegment(sequence, failure)
 					: CompletableFuture.<Void>failedFuture(failure);
 		}).thenCompose((settled) -> settled);
 	}
 
-	private CompletableFuture<Void> passOver(long sequence, Throwable failure) {
+	private CompletableFuture<Void> acceptEarlierSegment(long sequence, Throwable failure) {
 		return this.store.read(key(sequence)).thenCompose((found) -> {
 			if (found.isEmpty() || ClaimSegment.parse(found.get().text()).epoch() > this.epoch) {
 				return CompletableFuture.failedFuture(failure);
 			}
 			add(sequence, found.get());
-			return barrier();
+			return writeBarrier();
 		});
 	}
 
@@ -156,32 +157,33 @@
 	/**
 	 * Claims a key.
 	 * @param key the key
-	 * @param fingerprint what is the same for requests that are the same
-	 * @return empty if the claim is granted and recorded; the answer if the same request
-	 * has finished and its answer is still kept. Fails with {@code REQUEST_KEY_TAKEN},
-	 * {@code REQUEST_KEY_REUSED} or, if it could not be recorded,
-	 * {@code REQUEST_NOT_RUN_NO_RECORD}
+	 * @param fingerprint the fingerprint of the request, equal for identical requests
+	 * @return empty if the claim has been granted and recorded; the cached answer if the
+	 * same request has finished. Fails with {@code REQUEST_KEY_TAKEN} if the request was
+	 * claimed before and no answer is cached, {@code REQUEST_KEY_REUSED} if another
+	 * request has used the key, or {@code REQUEST_NOT_RUN_NO_RECORD} if the claim could
+	 * not be recorded
 	 */
 	public CompletableFuture<Optional<ClaimAnswer>> claim(ClaimKey key, String fingerprint) {
 		CompletableFuture<Optional<ClaimAnswer>> result = new CompletableFuture<>();
-		this.serial.execute(() -> claim(new Waiting(key, fingerprint, result)));
+		this.serial.execute(() -> claim(new PendingClaim(key, fingerprint, result)));
 		return result;
 	}
 
-	private void claim(Waiting claim) {
-		Optional<String> taken = Optional.ofNullable(this.granted.get(claim.key()))
-			.or(() -> this.waiting.stream()
+	private void claim(PendingClaim claim) {
+		Optional<String> claimedFingerprint = Optional.ofNullable(this.grantedFingerprints.get(claim.key()))
+			.or(() -> this.pending.stream()
 				.filter((other) -> other.key().equals(claim.key()))
-				.map(Waiting::fingerprint)
+				.map(PendingClaim::fingerprint)
 				.findFirst());
 		if (this.closed) {
 			claim.refuse(ErrorCode.REQUEST_NOT_RUN_NO_RECORD, "another entry took over the keys of the shard");
 		}
-		else if (taken.isEmpty()) {
-			this.waiting.add(claim);
+		else if (claimedFingerprint.isEmpty()) {
+			this.pending.add(claim);
 			write();
 		}
-		else if (!taken.get().equals(claim.fingerprint())) {
+		else if (!claimedFingerprint.get().equals(claim.fingerprint())) {
 			claim.refuse(ErrorCode.REQUEST_KEY_REUSED, "the key was used for another request");
 		}
 		else if (this.answers.containsKey(claim.key())) {
@@ -193,56 +195,59 @@
 	}
 
 	private void write() {
-		if (this.writing || this.waiting.isEmpty()) {
+		if (this.writing || this.pending.isEmpty()) {
 			return;
 		}
 		this.writing = true;
-		List<Waiting> group = List.copyOf(this.waiting.subList(0, Math.min(MOST_IN_SEGMENT, this.waiting.size())));
+		List<PendingClaim> batch = List
+			.copyOf(this.pending.subList(0, Math.min(MAX_CLAIMS_PER_SEGMENT, this.pending.size())));
 		Map<ClaimKey, String> claims = new LinkedHashMap<>();
-		group.forEach((claim) -> claims.put(claim.key(), claim.fingerprint()));
+		batch.forEach((claim) -> claims.put(claim.key(), claim.fingerprint()));
 		String text = new ClaimSegment(this.epoch, this.clock.millis(), claims).text();
-		append(this.next, text).whenCompleteAsync((stored, failure) -> written(group, stored, failure), this.serial);
+		append(this.nextSequence, text).whenCompleteAsync((stored, failure) -> written(batch, stored, failure),
+				this.serial);
 	}
 
 	private CompletableFuture<Stored> append(long sequence, String text) {
 		return this.writer.create(key(sequence), text, labels());
 	}
 
-	private void written(List<Waiting> group, Stored stored, Throwable failure) {
+	private void written(List<PendingClaim> batch, Stored stored, Throwable failure) {
 		this.writing = false;
-		this.waiting.removeAll(group);
+		this.pending.removeAll(batch);
 		if (failure == null) {
-			add(this.next, stored);
-			group.forEach((claim) -> claim.result().complete(Optional.empty()));
+			add(this.nextSequence, stored);
+			batch.forEach((claim) -> claim.result().complete(Optional.empty()));
 		}
 		else {
-			refuse(group, failure);
+			refuse(batch, failure);
 		}
 		write();
 	}
 
-	// A write that surely had no effect leaves the log as it was. After a conflict or an
-	// unknown outcome this owner does not know what the log holds; it must be opened
-	// anew.
-	private void refuse(List<Waiting> group, Throwable failure) {
-		boolean noEffect = is(failure, ErrorCode.STORE_UNAVAILABLE) || is(failure, ErrorCode.STORE_RATE_LIMITED);
-		group.forEach((claim) -> claim.refuse(ErrorCode.REQUEST_NOT_RUN_NO_RECORD,
+	// After a write that certainly had no effect the log is unchanged. After a conflict
+	// or an unknown outcome this owner does not know the contents of the log, which
+	// must be opened again.
+	private void refuse(List<PendingClaim> batch, Throwable failure) {
+		boolean noEffect = hasCode(failure, ErrorCode.STORE_UNAVAILABLE)
+				|| hasCode(failure, ErrorCode.STORE_RATE_LIMITED);
+		batch.forEach((claim) -> claim.refuse(ErrorCode.REQUEST_NOT_RUN_NO_RECORD,
 				"the idempotency key could not be recorded"));
 		if (!noEffect) {
 			this.closed = true;
-			this.waiting.forEach((claim) -> claim.refuse(ErrorCode.REQUEST_NOT_RUN_NO_RECORD,
+			this.pending.forEach((claim) -> claim.refuse(ErrorCode.REQUEST_NOT_RUN_NO_RECORD,
 					"the idempotency key could not be recorded"));
-			this.waiting.clear();
+			this.pending.clear();
 		}
 	}
 
-	private static boolean is(Throwable failure, ErrorCode code) {
-		return ConditionalWriter.codeOf(failure).filter((known) -> known == code).isPresent();
+	private static boolean hasCode(Throwable failure, ErrorCode code) {
+		return ConditionalWriter.codeOf(failure).filter((actual) -> actual == code).isPresent();
 	}
 
 	/**
-	 * Tells whether claims can no longer be granted and the log must be opened anew.
-	 * @return whether another owner was met, or a write's outcome stayed unknown
+	 * Returns whether the log can grant no more claims and must be opened again.
+	 * @return whether a write conflicted with another owner or its outcome is unknown
 	 */
 	public CompletableFuture<Boolean> closed() {
 		CompletableFuture<Boolean> result = new CompletableFuture<>();
@@ -253,55 +258,57 @@
 	// -- after the request
 
 	/**
-	 * Keeps the answer of a claimed request for a while, if it is short.
-	 * @param key the request's key
-	 * @param answer its answer
+	 * Caches the answer of a claimed request if it has at most 16384 characters. Of more
+	 * than 1000 answers, the least recently used one is evicted.
+	 * @param key the key of the request
+	 * @param answer the answer
 	 */
 	public void keepAnswer(ClaimKey key, ClaimAnswer answer) {
 		this.serial.execute(() -> {
-			if (answer.body().length() <= MOST_ANSWER_CHARACTERS) {
+			if (answer.body().length() <= MAX_ANSWER_CHARACTERS) {
 				this.answers.put(key, answer);
 			}
 		});
 	}
 
 	/**
-	 * Removes segments that are older than keys are kept. The newest segment stays, so
-	 * that the numbers go on. The age must be far above the longest pause of an owner,
-	 * whose next segment a removed barrier would no longer keep out.
-	 * @param age how long a key is kept
-	 * @return completes when they are gone
+	 * Deletes segments older than the retention period of keys. The newest segment is
+	 * kept, so that numbering continues. The period must be much longer than any pause of
+	 * an owner, since a deleted barrier no longer stops the next segment of a deposed
+	 * owner.
+	 * @param retention how long a key is kept
+	 * @return completes when the segments are deleted or a deletion has failed
 	 */
-	public CompletableFuture<Void> sweep(Duration age) {
+	public CompletableFuture<Void> sweep(Duration retention) {
 		CompletableFuture<Void> done = new CompletableFuture<>();
 		this.serial.execute(() -> {
-			long before = this.clock.millis() - age.toMillis();
-			Map<Long, Stored> old = new TreeMap<>(this.segments.headMap(this.next - 1));
-			old.values().removeIf((segment) -> ClaimSegment.parse(segment.text()).writtenMillis() >= before);
-			CompletableFuture<Void> last = CompletableFuture.completedFuture(null);
-			for (Map.Entry<Long, Stored> segment : old.entrySet()) {
-				last = last
-					.thenCompose((gone) -> this.store.delete(segment.getValue().key(), segment.getValue().version()))
-					.thenAcceptAsync((gone) -> forget(segment.getKey()), this.serial);
+			long before = this.clock.millis() - retention.toMillis();
+			Map<Long, Stored> expired = new TreeMap<>(this.segments.headMap(this.nextSequence - 1));
+			expired.values().removeIf((segment) -> ClaimSegment.parse(segment.text()).writtenMillis() >= before);
+			CompletableFuture<Void> deletions = CompletableFuture.completedFuture(null);
+			for (Map.Entry<Long, Stored> segment : expired.entrySet()) {
+				deletions = deletions
+					.thenCompose((deleted) -> this.store.delete(segment.getValue().key(), segment.getValue().version()))
+					.thenAcceptAsync((deleted) -> removeSegment(segment.getKey()), this.serial);
 			}
-			last.whenComplete((swept, failure) -> done.complete(null));
+			deletions.whenComplete((deleted, failure) -> done.complete(null));
 		});
 		return done;
 	}
 
-	private void forget(long sequence) {
+	private void removeSegment(long sequence) {
 		Stored segment = this.segments.remove(sequence);
-		ClaimSegment.parse(segment.text()).claims().keySet().forEach(this.granted::remove);
+		ClaimSegment.parse(segment.text()).claims().keySet().forEach(this.grantedFingerprints::remove);
 	}
 
 	/**
-	 * A claim that waits to be recorded.
+	 * A claim that is not recorded yet.
 	 *
 	 * @param key the key
-	 * @param fingerprint what is the same for requests that are the same
-	 * @param result is told how it ends
+	 * @param fingerprint the fingerprint of the request
+	 * @param result completed with the result of the claim
 	 */
-	private record Waiting(ClaimKey key, String fingerprint, CompletableFuture<Optional<ClaimAnswer>> result) {
+	private record PendingClaim(ClaimKey key, String fingerprint, CompletableFuture<Optional<ClaimAnswer>> result) {
 
 		void refuse(ErrorCode code, String detail) {
 			this.result.completeExceptionally(new RequestException(code, detail));
--- a/modules/core/src/main/java/org/ragworthook/core/claim/ClaimSegment.java
+++ b/modules/core/src/main/java/org/ragworthook/core/claim/ClaimSegment.java
@@ -7,12 +7,12 @@
 import java.util.Objects;
 
 /**
- * One object of the log: a line with the owner's epoch and the time of writing, then a
- * line for each claim, with the key and the fingerprint of the request.
+ * One stored segment of the log: a line with the owner's epoch and the time of writing,
+ * then one line per claim with the key and the fingerprint of the request.
  *
- * @param epoch the owner's fencing number
- * @param writtenMillis when it was written, Unix time
- * @param claims the fingerprints by key; none in a barrier
+ * @param epoch the epoch of the owner's lease
+ * @param writtenMillis when the segment was written, in milliseconds since the Unix epoch
+ * @param claims the fingerprints by key; empty in a barrier
  */
 record ClaimSegment(long epoch, long writtenMillis, Map<ClaimKey, String> claims) {
 
@@ -26,13 +26,13 @@
 
 	static ClaimSegment parse(String text) {
 		List<String> lines = text.lines().toList();
-		String[] head = lines.get(0).split(" ");
+		String[] header = lines.get(0).split(" ");
 		Map<ClaimKey, String> claims = new LinkedHashMap<>();
 		for (String line : lines.subList(1, lines.size())) {
 			String[] parts = line.split(" ");
 			claims.put(new ClaimKey(parts[0]), parts[1]);
 		}
-		return new ClaimSegment(Long.parseLong(head[0]), Long.parseLong(head[1]), claims);
+		return new ClaimSegment(Long.parseLong(header[0]), Long.parseLong(header[1]), claims);
 	}
 
 	String text() {
--- a/modules/core/src/main/java/org/ragworthook/core/claim/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/claim/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Claims on idempotency keys of requests that may run only once. A claim is recorded at
- * the platform before the request is passed on, so that the same request, sent again to
- * any entry, is not run a second time.
+ * Claims on the idempotency keys of requests that must not run twice. A claim is recorded
+ * at the platform before the request is passed on, so that the same request, resent to
+ * any entry, is not run again.
  */
 package org.ragworthook.core.claim;
--- a/modules/core/src/test/java/org/ragworthook/core/claim/ClaimLogTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/claim/ClaimLogTests.java
@@ -38,9 +38,9 @@
 
 	private final FaultyObjectStore faulty = FaultyObjectStore.over(this.store);
 
-	private ClaimLog open(FaultyObjectStore way, String owner, long epoch) {
+	private ClaimLog open(FaultyObjectStore connection, String owner, long epoch) {
 		Lease lease = new Lease("batch-0", epoch, owner, Duration.ofSeconds(6));
-		return ClaimLog.open(way, Stamps.of(owner), this.clock, 0, lease).join();
+		return ClaimLog.open(connection, Stamps.of(owner), this.clock, 0, lease).join();
 	}
 
 	private static ErrorCode refusal(CompletableFuture<?> claim) {
@@ -58,7 +58,7 @@
 	}
 
 	@Test
-	void shouldGiveAnswerOfFinishedRequest() {
+	void shouldReturnCachedAnswerOfFinishedRequest() {
 		ClaimLog log = open(this.faulty, "a", 1);
 		ClaimAnswer answer = new ClaimAnswer(200, "text/plain", "booked");
 		log.claim(KEY, "f").join();
@@ -67,7 +67,7 @@
 	}
 
 	@Test
-	void shouldWriteClaimsThatComeTogetherInOneCall() {
+	void shouldBatchConcurrentClaimsIntoOneWrite() {
 		ClaimLog log = open(this.faulty, "a", 1);
 		this.faulty.plan(Fault.DELAYED);
 		List<CompletableFuture<Optional<ClaimAnswer>>> claims = new ArrayList<>();
@@ -80,19 +80,17 @@
 		assertThat(this.faulty.calls().size() - before).isEqualTo(2);
 	}
 
-	// The owner of a shard is lost after it granted a key. The caller sends its booking
-	// again,
-	// and the new owner must know of the grant.
+	// The owner of a shard is lost after granting a key. The caller resends its
+	// request, and the new owner must know that the key was granted.
 	@Test
-	void shouldKnowGrantsOfEarlierOwner() {
+	void shouldRefuseKeysGrantedByEarlierOwner() {
 		open(this.faulty, "a", 1).claim(KEY, "f").join();
 		ClaimLog next = open(FaultyObjectStore.over(this.store), "b", 2);
 		assertThat(refusal(next.claim(KEY, "f"))).isEqualTo(ErrorCode.REQUEST_KEY_TAKEN);
 	}
 
-	// An owner is paused and wakes after the take-over, with a claim in its hands.
-	// Granted, the
-	// booking could be made by both owners.
+	// An owner is paused and resumes after another has taken over, with a claim
+	// pending. If it granted the claim, both owners could grant the same key.
 	@Test
 	void shouldGrantNothingAfterBarrierOfNextOwner() {
 		ClaimLog deposed = open(this.faulty, "a", 1);
@@ -102,34 +100,33 @@
 		assertThat(next.claim(KEY, "f").join()).isEmpty();
 	}
 
-	// The platform takes the claim and its answer is lost. The request may run: nobody
-	// else
-	// was granted the key.
+	// The platform records the claim, but the response is lost. The request may run,
+	// since the key was granted to no other request.
 	@Test
-	void shouldGrantAfterLostAnswer() {
+	void shouldGrantAfterLostResponse() {
 		ClaimLog log = open(this.faulty, "a", 1);
 		this.faulty.plan((call) -> call.writes() ? Fault.ANSWER_LOST : Fault.NONE);
 		assertThat(log.claim(KEY, "f").join()).isEmpty();
 	}
 
-	// The platform is out. The refusal must be true: the request was not run and will not
-	// be.
+	// The platform is unavailable. The error states that the request was not run, so it
+	// must not be run later either.
 	@ParameterizedTest
 	@EnumSource(names = { "REFUSED", "REQUEST_LOST", "ANSWER_LOST" })
-	void shouldRefuseWhileNothingCanBeRecorded(Fault fault) {
+	void shouldRefuseWhileClaimCannotBeRecorded(Fault fault) {
 		ClaimLog log = open(this.faulty, "a", 1);
 		this.faulty.plan(fault);
 		assertThat(refusal(log.claim(KEY, "f"))).isEqualTo(ErrorCode.REQUEST_NOT_RUN_NO_RECORD);
 		this.faulty.plan(Fault.NONE);
-		boolean again = !log.closed().join();
-		assertThat(again).isEqualTo(fault == Fault.REFUSED);
-		if (again) {
+		boolean stillOpen = !log.closed().join();
+		assertThat(stillOpen).isEqualTo(fault == Fault.REFUSED);
+		if (stillOpen) {
 			assertThat(log.claim(KEY, "f").join()).isEmpty();
 		}
 	}
 
 	@Test
-	void shouldForgetOldKeysAndGoOnNumbering() {
+	void shouldRemoveOldKeysAndContinueNumbering() {
 		ClaimLog log = open(this.faulty, "a", 1);
 		log.claim(KEY, "f").join();
 		this.time.advance(Duration.ofHours(25));
@@ -139,36 +136,35 @@
 		assertThat(refusal(log.claim(ClaimKey.of("fiestas", "new"), "f"))).isEqualTo(ErrorCode.REQUEST_KEY_TAKEN);
 	}
 
-	// Owners take over from each other while writes are late or lose their answers, and
-	// the
-	// same few keys are claimed again and again. No key may be granted twice.
+	// Owners take over from each other while writes are delayed or their responses are
+	// lost, and the same few keys are claimed repeatedly. No key may be granted twice.
 	@Property(tries = 300, seed = "77")
-	void shouldNeverGrantAKeyTwice(@ForAll long seed) {
+	void shouldNeverGrantKeyTwice(@ForAll long seed) {
 		Random random = new Random(seed);
 		MemoryObjectStore shared = MemoryObjectStore.empty();
-		List<FaultyObjectStore> ways = new ArrayList<>();
+		List<FaultyObjectStore> connections = new ArrayList<>();
 		List<CompletableFuture<ClaimLog>> logs = new ArrayList<>();
 		int[] grants = new int[4];
 		for (int step = 0; step < 40; step++) {
 			if (logs.isEmpty() || random.nextInt(6) == 0) {
-				FaultyObjectStore way = FaultyObjectStore.over(shared);
-				ways.add(way);
+				FaultyObjectStore connection = FaultyObjectStore.over(shared);
+				connections.add(connection);
 				Lease lease = new Lease("batch-0", logs.size() + 1, "o" + logs.size(), Duration.ofSeconds(6));
-				logs.add(ClaimLog.open(way, Stamps.of(lease.holder()), this.clock, 0, lease));
+				logs.add(ClaimLog.open(connection, Stamps.of(lease.holder()), this.clock, 0, lease));
 			}
 			int owner = random.nextInt(logs.size());
 			int key = random.nextInt(grants.length);
 			Fault fault = List.of(Fault.NONE, Fault.NONE, Fault.ANSWER_LOST, Fault.REQUEST_LOST, Fault.DELAYED)
 				.get(random.nextInt(5));
-			ways.get(owner).plan((call) -> call.writes() ? fault : Fault.NONE);
+			connections.get(owner).plan((call) -> call.writes() ? fault : Fault.NONE);
 			logs.get(owner)
 				.thenCompose((log) -> log.claim(ClaimKey.of("x", "k" + key), "f"))
 				.thenAccept((answer) -> grants[key]++);
 			if (random.nextInt(3) == 0) {
-				ways.get(random.nextInt(ways.size())).deliver();
+				connections.get(random.nextInt(connections.size())).deliver();
 			}
 		}
-		ways.forEach(FaultyObjectStore::deliver);
+		connections.forEach(FaultyObjectStore::deliver);
 		for (int count : grants) {
 			assertThat(count).isAtMost(1);
 		}
