--- a/modules/gateway/src/main/java/org/ragworthook/gateway/route/Route.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/route/Route.java
@@ -94,10 +94,10 @@
 	 */
 	public String pickService(double draw) {
 		int sum = this.services.stream().mapToInt(WeightedService::weight).sum();
-		double left = draw * sum;
+		double remaining = draw * sum;
 		for (WeightedService candidate : this.services) {
-			left -= candidate.weight();
-			if (left < 0) {
+			remaining -= candidate.weight();
+			if (remaining < 0) {
 				return candidate.service();
 			}
 		}
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/suspect/PoisonRequestDetector.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/suspect/PoisonRequestDetector.java
@@ -12,7 +12,7 @@
 
 /**
  * Detects poison requests, which crash every upstream that runs them, by counting how
- * often an upstream lost its connection while it ran a request.
+ * often the connection to an upstream was lost while it ran a request.
  * <p>
  * The caller of a poison request retries it at any entry, so one upstream after another
  * crashes. Its path and body are the same each time, so it is recognised by a
@@ -84,7 +84,7 @@
 	}
 
 	/**
-	 * Called when an upstream lost its connection while it ran a request.
+	 * Called when the connection to an upstream was lost while it ran a request.
 	 * @param fingerprint the request's fingerprint
 	 */
 	public void recordConnectionLoss(long fingerprint) {
@@ -125,8 +125,7 @@
 	/**
 	 * Returns whether a request must not be run any more.
 	 * @param fingerprint the request's fingerprint
-	 * @return whether upstreams lost their connection at least three times while they ran
-	 * it
+	 * @return whether connections were lost at least three times while it ran
 	 */
 	public boolean refused(long fingerprint) {
 		ConnectionLosses losses = this.ownLosses.get(fingerprint);
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/TrackedUpstream.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/upstream/TrackedUpstream.java
@@ -212,7 +212,7 @@
 	}
 
 	/**
-	 * Called when the upstream could not be reached or its connection was lost.
+	 * Called when the upstream could not be reached or the connection to it was lost.
 	 * @return the number of failures since the last success
 	 */
 	public int recordFailure() {
--- a/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/SlotSharingTests.java
+++ b/modules/gateway/src/test/java/org/ragworthook/gateway/upstream/SlotSharingTests.java
@@ -138,8 +138,8 @@
 	}
 
 	/**
-	 * An upstream whose connection was lost is avoided for a while, but used if no other
-	 * is left, since it may serve again.
+	 * An upstream to which the connection was lost is avoided for a while, but used if no
+	 * other is left, since it may serve again.
 	 */
 	@Test
 	void shouldUseAnAvoidedUpstreamOnlyAsLastResort() {
