--- a/modules/gateway/src/main/java/org/ragworthook/gateway/http/ClientConnection.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/http/ClientConnection.java
@@ -142,7 +142,7 @@
 			this.skipping = true;
 			return;
 		}
-		if (this.exchange == null || this.exchange.answered) {
+		if (this.exchange == null || this.exchange.headReceived) {
 			fail(SendFailure.MALFORMED);
 			return;
 		}
@@ -151,7 +151,7 @@
 			this.skipping = true;
 			return;
 		}
-		this.exchange.answered = true;
+		this.exchange.headReceived = true;
 		if (!HttpUtil.isKeepAlive(head)) {
 			this.reusable = false;
 		}
@@ -167,7 +167,7 @@
 			return;
 		}
 		Exchange current = this.exchange;
-		if (current == null || !current.answered) {
+		if (current == null || !current.headReceived) {
 			return;
 		}
 		if (last && this.reset) {
@@ -214,7 +214,7 @@
 
 		private final String expectedId;
 
-		private boolean answered;
+		private boolean headReceived;
 
 		Exchange(ResponseListener listener, String expectedId) {
 			this.listener = listener;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/CallerAccess.java
@@ -108,14 +108,14 @@
 	}
 
 	/**
-	 * Takes one request from the quota of its account, or responds with an error if the
+	 * Reserves one request in the quota of its account, or responds with an error if the
 	 * quota is used up.
 	 * @param request the request
 	 * @param response receives the error
 	 * @param account the account that the request belongs to, or empty for none
-	 * @return the request's use of the quota, or empty if the request was rejected
+	 * @return the reservation, or empty if the request was rejected
 	 */
-	Optional<QuotaReservation> takeQuota(HttpServerRequest request, CallerResponse response,
+	Optional<QuotaReservation> reserveQuota(HttpServerRequest request, CallerResponse response,
 			Optional<ClientAccount> account) {
 		if (account.isEmpty()) {
 			return Optional.of(QuotaReservation.unlimited());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/Frontend.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/Frontend.java
@@ -328,7 +328,7 @@
 					configuration.version(), body, new VertxJobResponse(response, request));
 			return;
 		}
-		Optional<QuotaReservation> quota = this.access.takeQuota(request, response, account);
+		Optional<QuotaReservation> quota = this.access.reserveQuota(request, response, account);
 		if (quota.isEmpty()) {
 			return;
 		}
@@ -341,13 +341,14 @@
 		Optional<Long> lastEvent = Optional.ofNullable(request.getHeader(this.context.headers().lastEventId()))
 			.flatMap(Frontend::number);
 		OnlineRequest online = new OnlineRequest(id, request.method().name(), request.uri(), headers, body, route,
-				configuration.version(), Deadline.after(this.context.ticker(), left), lastEvent, prompt(request));
+				configuration.version(), Deadline.after(this.context.ticker(), left), lastEvent,
+				prefixAffinity(request));
 		OnlineExchange exchange = new OnlineExchange(this.context, online, response, this.queues, quota.get());
 		incoming.lifecycle.exchange = exchange;
 		exchange.start();
 	}
 
-	private PrefixAffinity prompt(HttpServerRequest request) {
+	private PrefixAffinity prefixAffinity(HttpServerRequest request) {
 		return Optional.ofNullable(request.getHeader(this.context.headers().promptParts()))
 			.map((parts) -> PrefixAffinity.of(this.context.promptFormat().parse(parts)))
 			.orElse(PrefixAffinity.none());
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/JobAdmission.java
@@ -29,8 +29,8 @@
 	private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(500);
 
 	/**
-	 * Retry time for callers whose job does not fit below the limit: within it a usual
-	 * item ends at one slot of three.
+	 * Retry time for callers whose job does not fit below the limit. Within this time a
+	 * typical item ends at one slot of three.
 	 */
 	private static final Duration OVER_LIMIT_RETRY_AFTER = Duration.ofMillis(2_000);
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineContext.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineContext.java
@@ -30,7 +30,7 @@
  * @param ticker the monotonic clock
  * @param timers runs tasks later, on the event loop of the connections
  * @param random draws the service of a route by weight
- * @param suspects the requests that are suspected to crash upstreams
+ * @param poisonRequests detects the requests that crash upstreams
  * @param metrics counts requests and failed attempts
  * @param dispatch requests slots from the dispatcher while they are scarce
  * @param loadChanged called when the load of this process at upstreams has changed
@@ -38,8 +38,8 @@
  */
 public record OnlineContext(ActiveConfiguration configuration, UpstreamRegistry upstreams, Placement placement,
 		UnreportedPlacements unreported, ConnectionPool connections, HeaderNames headers, PromptFormat promptFormat,
-		Ticker ticker, Timers timers, RandomGenerator random, PoisonRequestDetector suspects, GatewayMetrics metrics,
-		DispatchClient dispatch, Runnable loadChanged, Runnable flushLoadReport) {
+		Ticker ticker, Timers timers, RandomGenerator random, PoisonRequestDetector poisonRequests,
+		GatewayMetrics metrics, DispatchClient dispatch, Runnable loadChanged, Runnable flushLoadReport) {
 
 	/**
 	 * Checks that no component is null.
@@ -55,7 +55,7 @@
 		Objects.requireNonNull(ticker, "ticker is null");
 		Objects.requireNonNull(timers, "timers is null");
 		Objects.requireNonNull(random, "random is null");
-		Objects.requireNonNull(suspects, "suspects is null");
+		Objects.requireNonNull(poisonRequests, "poisonRequests is null");
 		Objects.requireNonNull(metrics, "metrics is null");
 		Objects.requireNonNull(dispatch, "dispatch is null");
 		Objects.requireNonNull(loadChanged, "loadChanged is null");
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineExchange.java
@@ -75,8 +75,8 @@
 	/** Whether an upstream may have executed the request. */
 	private boolean mayHaveRun;
 
-	/** Whether the response to the caller has begun. */
-	private boolean answering;
+	/** Whether the response to the caller has started. */
+	private boolean responseStarted;
 
 	private boolean ended;
 
@@ -123,7 +123,7 @@
 	}
 
 	private void place() {
-		if (this.context.suspects().refused(this.fingerprint)) {
+		if (this.context.poisonRequests().refused(this.fingerprint)) {
 			LOG.info("quarantined_rejected", "request", this.request.id(), "fingerprint",
 					Long.toHexString(this.fingerprint), "sends", this.attempts);
 			reject(QUARANTINED_RETRY_AFTER);
@@ -148,16 +148,16 @@
 		if (this.ended) {
 			return true;
 		}
-		Optional<TrackedUpstream> choice = choose(this.queues.room());
+		Optional<TrackedUpstream> choice = choose(this.queues.onlineCapacity());
 		choice.ifPresent((upstream) -> send(upstream, PlacementSource.ENTRY, !SlotSharing.hasFreeSlot(upstream),
 				SlotSharing.needsPreemption(upstream)));
 		return choice.isPresent();
 	}
 
-	private Optional<TrackedUpstream> choose(Placement.CapacityCheck room) {
+	private Optional<TrackedUpstream> choose(Placement.CapacityCheck capacity) {
 		List<TrackedUpstream> serving = this.context.upstreams().serving(this.service);
 		return this.context.placement()
-			.choose(serving, this.tried.excluded(serving), room, this.request.prompt(),
+			.choose(serving, this.tried.excluded(serving), capacity, this.request.prefixAffinity(),
 					this.context.unreported().estimate());
 	}
 
@@ -207,7 +207,7 @@
 	 * @param nowNanos the current time, a reading of the ticker
 	 */
 	void checkStall(long nowNanos) {
-		Duration timeout = StallTimeouts.timeout(this.answering, this.queued);
+		Duration timeout = StallTimeouts.timeout(this.responseStarted, this.queued);
 		if (this.ended || this.attempt == null || this.response.writeQueueFull()
 				|| nowNanos - this.clock.lastActivityNanos() < timeout.toNanos()) {
 			return;
@@ -217,7 +217,7 @@
 			this.stalled = true;
 			this.queues.stalled(stalledUpstream, this.clock.lastActivityNanos());
 			LOG.info("upstream_silent", "request", this.request.id(), "upstream", stalledUpstream, "answering",
-					this.answering, "ms", (nowNanos - this.clock.lastActivityNanos()) / NANOS_PER_MILLI);
+					this.responseStarted, "ms", (nowNanos - this.clock.lastActivityNanos()) / NANOS_PER_MILLI);
 		}
 		if (this.attempt.sent() && this.request.route().retryable()
 				&& this.attempts + 1 < this.request.route().maxAttempts()) {
@@ -266,7 +266,7 @@
 		if (this.ended) {
 			return;
 		}
-		if (this.mayHaveRun || this.answering) {
+		if (this.mayHaveRun || this.responseStarted) {
 			fail(BAD_GATEWAY, "no_upstream_to_go_on");
 			return;
 		}
@@ -281,9 +281,9 @@
 	}
 
 	private void fail(int status, String outcome) {
-		boolean begun = this.answering;
-		finish(outcome, begun ? 0 : status);
-		if (begun) {
+		boolean started = this.responseStarted;
+		finish(outcome, started ? 0 : status);
+		if (started) {
 			this.response.abort();
 		}
 		else {
@@ -356,7 +356,7 @@
 	 * @return the ticker's reading
 	 */
 	long sendTargetNanos() {
-		if (this.answering) {
+		if (this.responseStarted) {
 			return this.context.ticker().nanos() + StallTimeouts.EVENT_TIMEOUT.toNanos();
 		}
 		return this.clock.sendTargetNanos(this.request.route().latencyTarget());
@@ -374,7 +374,7 @@
 
 		@Override
 		public PrefixAffinity prefixAffinity() {
-			return OnlineExchange.this.request.prompt();
+			return OnlineExchange.this.request.prefixAffinity();
 		}
 
 		@Override
@@ -412,10 +412,10 @@
 		public void head(HttpResponse head) {
 			OnlineExchange exchange = OnlineExchange.this;
 			exchange.recordActivity();
-			if (exchange.ended || exchange.answering) {
+			if (exchange.ended || exchange.responseStarted) {
 				return;
 			}
-			exchange.answering = true;
+			exchange.responseStarted = true;
 			exchange.clock.firstByte();
 			exchange.response.head(head);
 		}
@@ -454,7 +454,7 @@
 			exchange.context.metrics().attemptFailed("not_run");
 			exchange.queues.upstreamRejected(rejecting, status);
 			follow(RetryPolicy.afterRejection(exchange.request.route(), exchange.attempts, exchange.mayHaveRun,
-					exchange.answering));
+					exchange.responseStarted));
 		}
 
 		@Override
@@ -465,13 +465,14 @@
 			if (failure != SendFailure.NOT_SENT) {
 				exchange.attempts++;
 				exchange.mayHaveRun = true;
-				exchange.context.suspects().recordConnectionLoss(exchange.fingerprint);
+				exchange.context.poisonRequests().recordConnectionLoss(exchange.fingerprint);
 			}
 			LOG.info("attempt_failed", "request", exchange.request.id(), "upstream", failing, "failure", failure,
 					"sends", exchange.attempts, "last_event", exchange.lastEvent);
 			exchange.context.metrics().attemptFailed(failure.name().toLowerCase(Locale.ROOT));
 			exchange.queues.upstreamFailed(failing, failure);
-			follow(RetryPolicy.afterFailure(exchange.request.route(), exchange.attempts, exchange.answering, failure));
+			follow(RetryPolicy.afterFailure(exchange.request.route(), exchange.attempts, exchange.responseStarted,
+					failure));
 		}
 
 		/**
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineQueues.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineQueues.java
@@ -84,10 +84,10 @@
 	}
 
 	/**
-	 * Returns the rule by which upstreams have room for an online request.
-	 * @return the rule
+	 * Returns the check whether an upstream has capacity for an online request.
+	 * @return the check
 	 */
-	Placement.CapacityCheck room() {
+	Placement.CapacityCheck onlineCapacity() {
 		return SlotSharing::hasOnlineCapacity;
 	}
 
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineRequest.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/OnlineRequest.java
@@ -20,10 +20,10 @@
  * @param configurationVersion the version of the configuration that the route is from
  * @param deadline the time after which the caller no longer waits for the response
  * @param lastEvent the id of the last event that the caller has, if it resumes a stream
- * @param prompt the upstreams that are likely to have parts of the prompt cached
+ * @param prefixAffinity the upstreams that are likely to have parts of the prompt cached
  */
 record OnlineRequest(String id, String method, String uri, HttpHeaders headers, byte[] body, Route route,
-		long configurationVersion, Deadline deadline, Optional<Long> lastEvent, PrefixAffinity prompt) {
+		long configurationVersion, Deadline deadline, Optional<Long> lastEvent, PrefixAffinity prefixAffinity) {
 
 	OnlineRequest {
 		Objects.requireNonNull(id, "id is null");
@@ -34,7 +34,7 @@
 		Objects.requireNonNull(route, "route is null");
 		Objects.requireNonNull(deadline, "deadline is null");
 		Objects.requireNonNull(lastEvent, "lastEvent is null");
-		Objects.requireNonNull(prompt, "prompt is null");
+		Objects.requireNonNull(prefixAffinity, "prefixAffinity is null");
 	}
 
 }
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/RetryPolicy.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/RetryPolicy.java
@@ -21,13 +21,13 @@
 	 * @param route the request's route
 	 * @param attempts the number of upstreams that received the request so far, including
 	 * this one
-	 * @param answering whether a part of the response was sent to the caller
+	 * @param responseStarted whether a part of the response was sent to the caller
 	 * @param failure how the attempt failed
 	 * @return the decision
 	 */
-	static Decision afterFailure(Route route, int attempts, boolean answering, SendFailure failure) {
+	static Decision afterFailure(Route route, int attempts, boolean responseStarted, SendFailure failure) {
 		boolean again = failure == SendFailure.NOT_SENT || (route.retryable() && attempts < route.maxAttempts());
-		if (answering) {
+		if (responseStarted) {
 			return (again && route.resumable()) ? Decision.RETRY : Decision.ABORT;
 		}
 		return again ? Decision.RETRY : Decision.FAIL;
@@ -40,14 +40,14 @@
 	 * @param attempts the number of upstreams that received the request so far, including
 	 * this one
 	 * @param mayHaveRun whether an earlier upstream may have executed the request
-	 * @param answering whether a part of the response was sent to the caller
+	 * @param responseStarted whether a part of the response was sent to the caller
 	 * @return the decision
 	 */
-	static Decision afterRejection(Route route, int attempts, boolean mayHaveRun, boolean answering) {
+	static Decision afterRejection(Route route, int attempts, boolean mayHaveRun, boolean responseStarted) {
 		if (attempts < route.maxAttempts()) {
 			return Decision.RETRY;
 		}
-		if (answering) {
+		if (responseStarted) {
 			return Decision.ABORT;
 		}
 		return mayHaveRun ? Decision.FAIL : Decision.REJECT;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/StallTimeouts.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/StallTimeouts.java
@@ -31,12 +31,12 @@
 
 	/**
 	 * Returns how long an upstream may send nothing before it counts as stalled.
-	 * @param answering whether the response has begun
+	 * @param responseStarted whether the response has begun
 	 * @param queued whether the upstream had no free slot when the request was sent
 	 * @return the timeout
 	 */
-	static Duration timeout(boolean answering, boolean queued) {
-		if (answering) {
+	static Duration timeout(boolean responseStarted, boolean queued) {
+		if (responseStarted) {
 			return EVENT_TIMEOUT;
 		}
 		return queued ? QUEUED_FIRST_EVENT_TIMEOUT : FIRST_EVENT_TIMEOUT;
--- a/modules/gateway/src/main/java/org/ragworthook/gateway/online/StartupQueue.java
+++ b/modules/gateway/src/main/java/org/ragworthook/gateway/online/StartupQueue.java
@@ -20,7 +20,8 @@
 final class StartupQueue {
 
 	/**
-	 * Twice the usual time from accepting callers to the first configuration, as logged.
+	 * Twice the typical time from accepting callers to the first configuration, as
+	 * logged.
 	 */
 	static final Duration MAX_WAIT = Duration.ofMillis(1_000);
 
