--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkClaim.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkClaimer.java
@@ -25,7 +25,7 @@
  * before it; its next write conflicts, so that of two owners only one can end an item. An
  * item that may run only once and was started by an earlier owner ends with the claim.
  */
-final class ChunkClaim {
+final class ChunkClaimer {
 
 	private static final int TRIES = 4;
 
@@ -33,10 +33,10 @@
 
 	private final ConditionalWriter writer;
 
-	private final Predicate<BatchItem> repeatable;
+	private final Predicate<BatchItem> idempotent;
 
-	ChunkClaim(ObjectStore store, ConditionalWriter writer, Predicate<BatchItem> repeatable) {
-		this.repeatable = Objects.requireNonNull(repeatable, "repeatable is null");
+	ChunkClaimer(ObjectStore store, ConditionalWriter writer, Predicate<BatchItem> idempotent) {
+		this.idempotent = Objects.requireNonNull(idempotent, "idempotent is null");
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.writer = Objects.requireNonNull(writer, "writer is null");
 	}
@@ -61,7 +61,7 @@
 		List<BatchItem> items = new ArrayList<>();
 		text.lines().forEach((line) -> {
 			BatchItem item = BatchItem.parse(items.size() + 1, line);
-			items.add(this.repeatable.test(item) ? item : item.once());
+			items.add(this.idempotent.test(item) ? item : item.once());
 		});
 		return items;
 	}
@@ -149,8 +149,8 @@
 		}
 
 		ItemResult unknown(int index) {
-			ItemName name = new ItemName(this.job, this.number, index, this.items.get(index).customId());
-			return ItemResult.without(name, ItemEnd.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
+			ItemId name = new ItemId(this.job, this.number, index, this.items.get(index).customId());
+			return ItemResult.without(name, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
 					"the item was started by an owner that was lost");
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/Chunks.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkDeletion.java
@@ -8,11 +8,11 @@
 /**
  * Removes numbered objects one after another.
  */
-final class Chunks {
+final class ChunkDeletion {
 
 	private static final int GAP = 4;
 
-	private Chunks() {
+	private ChunkDeletion() {
 	}
 
 	/**
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	 * Removes the chunks of an upload of which nobody knows how far it came. Chunks are
-	 * stored a few at a time, so that only a few numbers in a row can be missing before
-	 * the last.
+	 * Removes the chunks of an upload of which nobody knows how far it came.
+	 * ChunkDeletion are stored a few at a time, so that only a few numbers in a row can
+	 * be missing before the last.
 	 * @param store where they are
 	 * @param input the common part of their names
 	 * @return completes when they are gone
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkPacker.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkPacker.java
@@ -20,7 +20,7 @@
 	/** The most bytes in a chunk, with the escapes of JSON. */
 	static final int MAX_BYTES = 900_000;
 
-	private final LineChecks checks;
+	private final LineValidator checks;
 
 	private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
@@ -36,7 +36,7 @@
 
 	private int items;
 
-	ChunkPacker(LineChecks checks) {
+	ChunkPacker(LineValidator checks) {
 		this.checks = checks;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkRun.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkRun.java
@@ -39,7 +39,7 @@
 
 	private final Set<Integer> suspects = new LinkedHashSet<>();
 
-	private final Map<Integer, Resume> resumes = new HashMap<>();
+	private final Map<Integer, ResumePoint> resumes = new HashMap<>();
 
 	private final Map<String, Deque<Integer>> ready = new LinkedHashMap<>();
 
@@ -65,7 +65,7 @@
 
 	private boolean closed;
 
-	ChunkRun(JobRun job, int number, ChunkClaim.Claimed claimed) {
+	ChunkRun(JobRun job, int number, ChunkClaimer.Claimed claimed) {
 		this.job = job;
 		this.number = number;
 		this.items = claimed.items().toArray(BatchItem[]::new);
@@ -98,8 +98,8 @@
 		return this.items[index];
 	}
 
-	ItemName name(int index) {
-		return new ItemName(this.job.id(), this.number, index, this.items[index].customId());
+	ItemId name(int index) {
+		return new ItemId(this.job.id(), this.number, index, this.items[index].customId());
 	}
 
 	void makeReady(int index, boolean first) {
@@ -178,11 +178,11 @@
 		return ++this.crashesAlone[index];
 	}
 
-	void resumeFrom(Resume resume) {
+	void resumeFrom(ResumePoint resume) {
 		this.resumes.put(resume.index(), resume);
 	}
 
-	Optional<Resume> resume(int index) {
+	Optional<ResumePoint> resume(int index) {
 		return Optional.ofNullable(this.resumes.get(index));
 	}
 
@@ -323,10 +323,10 @@
 		return new Pending(this.written.with(head).with(results), results.size(), starts);
 	}
 
-	private List<Resume> resumesWithinBound() {
-		List<Resume> kept = new ArrayList<>();
+	private List<ResumePoint> resumesWithinBound() {
+		List<ResumePoint> kept = new ArrayList<>();
 		int length = 0;
-		for (Resume resume : this.resumes.values()) {
+		for (ResumePoint resume : this.resumes.values()) {
 			length += resume.text().length();
 			if (length <= MAX_RESUMES) {
 				kept.add(resume);
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileIntake.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/FileIntake.java
@@ -110,8 +110,8 @@
 		return this.retry;
 	}
 
-	Function<BatchItem, String> rule() {
-		return this.builder.rule;
+	Function<BatchItem, String> itemValidator() {
+		return this.builder.itemValidator;
 	}
 
 	/**
@@ -127,7 +127,7 @@
 
 		private final InstantSource clock;
 
-		private Function<BatchItem, String> rule = (item) -> "";
+		private Function<BatchItem, String> itemValidator = (item) -> "";
 
 		private Duration retention = Duration.ofDays(30);
 
@@ -142,11 +142,11 @@
 
 		/**
 		 * Sets a rule for each line.
-		 * @param rule returns what is wrong with an item, or the empty text
+		 * @param itemValidator returns what is wrong with an item, or the empty text
 		 * @return this builder
 		 */
-		public Builder rule(Function<BatchItem, String> rule) {
-			this.rule = Objects.requireNonNull(rule, "rule is null");
+		public Builder itemValidator(Function<BatchItem, String> itemValidator) {
+			this.itemValidator = Objects.requireNonNull(itemValidator, "itemValidator is null");
 			return this;
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileRecord.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/FileRecord.java
@@ -70,7 +70,7 @@
 				List.of(), "", this.createdMillis, this.expiresMillis);
 	}
 
-	FileRecord stored(FileSize size) {
+	FileRecord stored(UploadSummary size) {
 		return new FileRecord(this.hex, this.account, State.STORED, this.input, this.abandoned, this.purpose,
 				this.filename, size.chunks(), size.items(), size.bytes(), size.sha256(), size.models(), size.endpoint(),
 				this.createdMillis, this.expiresMillis);
@@ -130,7 +130,7 @@
 	 */
 	public enum State {
 
-		/** Chunks are being stored. */
+		/** ChunkDeletion are being stored. */
 		UPLOADING,
 
 		/** All chunks are stored. */
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemName.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemId.java
@@ -8,7 +8,7 @@
  * @param index the item's number in the chunk
  * @param customId the account's own name of the item
  */
-public record ItemName(JobId job, int chunk, int index, String customId) {
+public record ItemId(JobId job, int chunk, int index, String customId) {
 
 	/**
 	 * Returns the name of the item's request, the same over all attempts and owners.
--- a/modules/core/src/main/java/org/ragworthook/core/job/Pace.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemRate.java
@@ -5,7 +5,7 @@
 /**
  * How many items a shard ends in a second, smoothed.
  */
-final class Pace {
+final class ItemRate {
 
 	private static final long SPAN = Duration.ofSeconds(10).toNanos();
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemResult.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemResult.java
@@ -22,7 +22,7 @@
  * @param end how it ended
  * @param line the line that the account reads, JSON text
  */
-public record ItemResult(int index, ItemEnd end, String line) {
+public record ItemResult(int index, ItemStatus end, String line) {
 
 	private static final JsonFactory JSON = new JsonFactory();
 
@@ -43,7 +43,7 @@
 	 * @param answer the upstream's answer
 	 * @return the result
 	 */
-	static ItemResult answered(ItemName name, ItemEnd end, ItemOutcome.Answered answer) {
+	static ItemResult answered(ItemId name, ItemStatus end, ItemOutcome.Answered answer) {
 		ObjectNode line = head(name);
 		ObjectNode response = line.putObject("response");
 		response.put("status_code", answer.status());
@@ -61,7 +61,7 @@
 	 * @param detail what happened
 	 * @return the result
 	 */
-	static ItemResult without(ItemName name, ItemEnd end, ErrorCode code, String detail) {
+	static ItemResult without(ItemId name, ItemStatus end, ErrorCode code, String detail) {
 		ObjectNode line = head(name);
 		line.putNull("response");
 		ObjectNode error = line.putObject("error");
@@ -70,7 +70,7 @@
 		return new ItemResult(name.index(), end, line.toString());
 	}
 
-	private static ObjectNode head(ItemName name) {
+	private static ObjectNode head(ItemId name) {
 		return JobJson.MAPPER.createObjectNode().put("id", name.requestId()).put("custom_id", name.customId());
 	}
 
@@ -95,7 +95,7 @@
 	static ItemResult parse(String text) {
 		try (JsonParser parser = JSON.createParser(text)) {
 			int index = 0;
-			ItemEnd end = null;
+			ItemStatus end = null;
 			parser.nextToken();
 			while (parser.nextFieldName() != null) {
 				String name = parser.currentName();
@@ -108,7 +108,7 @@
 					index = parser.getIntValue();
 				}
 				else if (name.equals("end")) {
-					end = ItemEnd.valueOf(parser.getText());
+					end = ItemStatus.valueOf(parser.getText());
 				}
 			}
 			throw new JobException(ErrorCode.INTERNAL, "a result has no line");
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemRuns.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemRunner.java
@@ -14,7 +14,7 @@
  * Runs the items of an owner's open chunks: sends them, judges what became of each
  * attempt, and writes results in groups.
  */
-final class ItemRuns {
+final class ItemRunner {
 
 	private static final Duration RETRY = Duration.ofSeconds(1);
 
@@ -36,7 +36,7 @@
 
 	private final ChunkWriter writer;
 
-	ItemRuns(ShardOwner owner, ShardOwner.Builder parts, ChunkWriter writer) {
+	ItemRunner(ShardOwner owner, ShardOwner.Builder parts, ChunkWriter writer) {
 		this.owner = Objects.requireNonNull(owner, "owner is null");
 		this.sender = parts.sender;
 		this.policy = parts.policy;
@@ -108,18 +108,18 @@
 			retry(chunk, index, FENCED_PAUSE);
 		}
 		else if (!again) {
-			end(chunk, without(chunk, index, ItemEnd.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
+			end(chunk, without(chunk, index, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
 					"the item was started; its attempt ended as " + outcome.getClass().getSimpleName()));
 		}
 		else if (outcome instanceof ItemOutcome.Yielded yielded) {
-			chunk.resumeFrom(new Resume(index, yielded.text(), yielded.tokens()));
+			chunk.resumeFrom(new ResumePoint(index, yielded.text(), yielded.tokens()));
 			ready(chunk, index);
 		}
 		else if (outcome instanceof ItemOutcome.Crashed crashed) {
 			crashed(chunk, index, crashed);
 		}
 		else if (outcome instanceof ItemOutcome.Broken broken) {
-			failed(chunk, index, without(chunk, index, ItemEnd.FAILED, ErrorCode.ITEM_FAILED, broken.detail()));
+			failed(chunk, index, without(chunk, index, ItemStatus.FAILED, ErrorCode.ITEM_FAILED, broken.detail()));
 		}
 		else {
 			stopped(chunk, index);
@@ -136,10 +136,10 @@
 
 	private void answered(ChunkRun chunk, int index, ItemOutcome.Answered answer) {
 		boolean success = answer.status() >= 200 && answer.status() < 300;
-		ItemResult result = ItemResult.answered(chunk.name(index), success ? ItemEnd.COMPLETED : ItemEnd.FAILED,
+		ItemResult result = ItemResult.answered(chunk.name(index), success ? ItemStatus.COMPLETED : ItemStatus.FAILED,
 				answer);
 		if (ResultRecord.bytes(result.text()) > ResultRecord.MAX_BYTES) {
-			result = without(chunk, index, ItemEnd.FAILED, ErrorCode.ITEM_RESULT_TOO_LARGE,
+			result = without(chunk, index, ItemStatus.FAILED, ErrorCode.ITEM_RESULT_TOO_LARGE,
 					"the answer has " + answer.body().length() + " characters");
 		}
 		boolean passing = answer.status() == 408 || answer.status() == 429 || answer.status() >= 500;
@@ -166,7 +166,7 @@
 	private void crashed(ChunkRun chunk, int index, ItemOutcome.Crashed crash) {
 		chunk.suspect(index);
 		if (crash.inFlight() <= 1 && chunk.crashedAlone(index) >= CRASHES_TO_CONVICT) {
-			end(chunk, without(chunk, index, ItemEnd.POISONED, ErrorCode.ITEM_POISONED,
+			end(chunk, without(chunk, index, ItemStatus.POISONED, ErrorCode.ITEM_POISONED,
 					"the item crashed " + CRASHES_TO_CONVICT + " upstreams that ran nothing else"));
 		}
 		else {
@@ -196,7 +196,7 @@
 		chunk.makeReady(index, true);
 	}
 
-	private static ItemResult without(ChunkRun chunk, int index, ItemEnd end, ErrorCode code, String detail) {
+	private static ItemResult without(ChunkRun chunk, int index, ItemStatus end, ErrorCode code, String detail) {
 		return ItemResult.without(chunk.name(index), end, code, detail);
 	}
 
@@ -279,9 +279,9 @@
 		for (int index : chunk.open(alsoRunning)) {
 			boolean running = alsoRunning && !chunk.item(index).idempotent();
 			chunk.end(running
-					? without(chunk, index, ItemEnd.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
+					? without(chunk, index, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
 							"the item was running when its job was cancelled")
-					: without(chunk, index, ItemEnd.CANCELLED, ErrorCode.ITEM_CANCELLED, "the job was cancelled"));
+					: without(chunk, index, ItemStatus.CANCELLED, ErrorCode.ITEM_CANCELLED, "the job was cancelled"));
 		}
 		writeIfDue(chunk);
 	}
@@ -295,9 +295,9 @@
 		return job.chunks().stream().anyMatch(ChunkRun::runsOnce);
 	}
 
-	void callBack(JobRun job) {
+	void recall(JobRun job) {
 		if (job.chunks().stream().anyMatch((chunk) -> chunk.running() > 0)) {
-			this.sender.callBack(job.id());
+			this.sender.recall(job.id());
 		}
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemSender.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemSender.java
@@ -12,7 +12,7 @@
 	 * @param route the model, or the path of a plain service
 	 * @return the room; 0 if there is none or nobody serves the route
 	 */
-	int room(String route);
+	int freeSlots(String route);
 
 	/**
 	 * Tells whether any sidecar serves a route, be it busy or not. The chunks of a job
@@ -44,6 +44,6 @@
 	 * send them again.
 	 * @param job the job
 	 */
-	void callBack(JobId job);
+	void recall(JobId job);
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemEnd.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemStatus.java
@@ -3,7 +3,7 @@
 /**
  * How an item ended.
  */
-public enum ItemEnd {
+public enum ItemStatus {
 
 	/** It was answered with success. */
 	COMPLETED,
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobCancel.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobCanceller.java
@@ -16,7 +16,7 @@
  * Cancels jobs. Whether a cancel or the completion came first is decided by one
  * conditional write on the job's record.
  */
-public final class JobCancel {
+public final class JobCanceller {
 
 	private static final int TRIES = 8;
 
@@ -26,7 +26,7 @@
 
 	private final InstantSource clock;
 
-	private JobCancel(ObjectStore store, Stamps stamps, InstantSource clock) {
+	private JobCanceller(ObjectStore store, Stamps stamps, InstantSource clock) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.writer = ConditionalWriter.of(store, stamps);
 		this.clock = Objects.requireNonNull(clock, "clock is null");
@@ -39,8 +39,8 @@
 	 * @param clock the time of day
 	 * @return the canceller
 	 */
-	public static JobCancel of(ObjectStore store, Stamps stamps, InstantSource clock) {
-		return new JobCancel(store, stamps, clock);
+	public static JobCanceller of(ObjectStore store, Stamps stamps, InstantSource clock) {
+		return new JobCanceller(store, stamps, clock);
 	}
 
 	/**
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobCollector.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobGarbageCollector.java
@@ -22,7 +22,7 @@
  * chunks of uploads that broke off. Everything is found through small records, so that no
  * sweep has to list chunks.
  */
-public final class JobCollector {
+public final class JobGarbageCollector {
 
 	private final ObjectStore store;
 
@@ -34,7 +34,7 @@
 
 	private final Duration uploadLimit;
 
-	private JobCollector(ObjectStore store, Stamps stamps, InstantSource clock, Duration retention,
+	private JobGarbageCollector(ObjectStore store, Stamps stamps, InstantSource clock, Duration retention,
 			Duration uploadLimit) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.writer = ConditionalWriter.of(store, stamps);
@@ -52,9 +52,9 @@
 	 * @param uploadLimit how long an upload may take
 	 * @return the collector
 	 */
-	public static JobCollector of(ObjectStore store, Stamps stamps, InstantSource clock, Duration retention,
+	public static JobGarbageCollector of(ObjectStore store, Stamps stamps, InstantSource clock, Duration retention,
 			Duration uploadLimit) {
-		return new JobCollector(store, stamps, clock, retention, uploadLimit);
+		return new JobGarbageCollector(store, stamps, clock, retention, uploadLimit);
 	}
 
 	/**
@@ -103,7 +103,8 @@
 			}
 			for (String part : ResultRecord.parse(found.get().text()).head().parts()) {
 				ObjectKey partKey = ObjectKey.of(Kind.RESULT, part);
-				done = done.thenCompose((before) -> Chunks.delete(this.store, partKey)).thenApply((gone) -> null);
+				done = done.thenCompose((before) -> ChunkDeletion.delete(this.store, partKey))
+					.thenApply((gone) -> null);
 			}
 			return done.thenCompose((before) -> this.store.delete(key, found.get().version()))
 				.thenApply((gone) -> null);
@@ -133,7 +134,7 @@
 	private CompletableFuture<Void> deleteTries(FileRecord file) {
 		CompletableFuture<Void> done = CompletableFuture.completedFuture(null);
 		for (String input : file.abandoned()) {
-			done = done.thenCompose((before) -> Chunks.deleteAll(this.store, input));
+			done = done.thenCompose((before) -> ChunkDeletion.deleteAll(this.store, input));
 		}
 		return done;
 	}
@@ -174,8 +175,8 @@
 	}
 
 	private CompletableFuture<Void> delete(Stored stored, FileRecord file) {
-		return deleteTries(file).thenCompose((done) -> Chunks.deleteAll(this.store, file.input()))
-			.thenCompose((done) -> Chunks.delete(this.store, file.input(), file.chunks()))
+		return deleteTries(file).thenCompose((done) -> ChunkDeletion.deleteAll(this.store, file.input()))
+			.thenCompose((done) -> ChunkDeletion.delete(this.store, file.input(), file.chunks()))
 			.thenCompose((done) -> this.store.delete(stored.key(), stored.version()))
 			.thenApply((gone) -> null);
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobIntake.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobIntake.java
@@ -83,7 +83,8 @@
 			.thenCompose((accepted) -> accepted);
 	}
 
-	// The file may have been removed at the same moment; see JobCollector. The job is
+	// The file may have been removed at the same moment; see JobGarbageCollector. The job
+	// is
 	// then
 	// withdrawn before it is acknowledged.
 	private CompletableFuture<JobRecord> confirmed(Stored stored, JobRecord job, JobSpec spec) {
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobRecords.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobRecordWriter.java
@@ -11,7 +11,7 @@
  * Keeps the records of an owner's jobs: progress, cancel and end, each by one conditional
  * write. The job's record decides whether a cancel or the completion came first.
  */
-final class JobRecords {
+final class JobRecordWriter {
 
 	private static final Duration RETRY = Duration.ofSeconds(1);
 
@@ -21,7 +21,7 @@
 
 	private final ConditionalWriter writer;
 
-	JobRecords(ShardOwner owner, ShardOwner.Builder parts, ConditionalWriter writer) {
+	JobRecordWriter(ShardOwner owner, ShardOwner.Builder parts, ConditionalWriter writer) {
 		this.owner = Objects.requireNonNull(owner, "owner is null");
 		this.parts = Objects.requireNonNull(parts, "parts is null");
 		this.writer = Objects.requireNonNull(writer, "writer is null");
@@ -58,7 +58,8 @@
 		return fresh >= JobRecord.RESERVE || (waitedLong && (fresh > 0 || job.lateChanged()));
 	}
 
-	// Chunks below the reserve may have been claimed by an earlier owner that is paused.
+	// ChunkDeletion below the reserve may have been claimed by an earlier owner that is
+	// paused.
 	// They are claimed here, so that none of its results shows after the job has ended.
 	private void cancel(JobRun job) {
 		if (!job.cancelling()) {
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobResults.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobResults.java
@@ -87,7 +87,7 @@
 	private static List<String> lines(List<ItemResult> results, FileId.Content content) {
 		boolean output = content == FileId.Content.OUTPUT;
 		return results.stream()
-			.filter((result) -> output == (result.end() == ItemEnd.COMPLETED))
+			.filter((result) -> output == (result.end() == ItemStatus.COMPLETED))
 			.sorted(Comparator.comparingInt(ItemResult::index))
 			.map(ItemResult::line)
 			.toList();
@@ -114,7 +114,7 @@
 	private CompletableFuture<List<ItemResult>> all(ResultRecord record) {
 		CompletableFuture<List<ItemResult>> all = CompletableFuture.completedFuture(new ArrayList<>(record.results()));
 		for (String part : record.head().parts()) {
-			all = all.thenCombine(ChunkClaim.part(this.store, part), (before, further) -> {
+			all = all.thenCombine(ChunkClaimer.part(this.store, part), (before, further) -> {
 				before.addAll(further);
 				return before;
 			});
@@ -138,7 +138,7 @@
 	}
 
 	private static ItemResult cancelled(JobRecord job, int chunk, int index, BatchItem item) {
-		return ItemResult.without(new ItemName(job.id(), chunk, index, item.customId()), ItemEnd.CANCELLED,
+		return ItemResult.without(new ItemId(job.id(), chunk, index, item.customId()), ItemStatus.CANCELLED,
 				ErrorCode.ITEM_CANCELLED, "the job was cancelled before the item started");
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobRunner.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobRunner.java
@@ -73,9 +73,9 @@
 			.time(builder.ticker, builder.timers, builder.clock)
 			.policy(builder.policy)
 			.weights(builder.weights)
-			.repeatable(builder.repeatable)
+			.idempotent(builder.idempotent)
 			.held(this.shards::held)
-			.wake(this::roomChanged);
+			.wake(this::capacityChanged);
 	}
 
 	/**
@@ -103,7 +103,7 @@
 	 * are released.
 	 * @return completes when all is handed over
 	 */
-	public CompletableFuture<Void> leave() {
+	public CompletableFuture<Void> releaseShards() {
 		this.closed = true;
 		return this.shards.releaseAll().whenComplete((done, failure) -> this.watch.close());
 	}
@@ -111,7 +111,7 @@
 	/**
 	 * Looks for shards that were released, such as when a peer says that it leaves.
 	 */
-	public void lookForShards() {
+	public void acquireFreeShards() {
 		this.shards.acquireFree();
 	}
 
@@ -145,7 +145,7 @@
 	 * in turn: without turns the owner whose item has just ended would take its place
 	 * again and again, and the jobs of other shards would not start before its own ended.
 	 */
-	public void roomChanged() {
+	public void capacityChanged() {
 		this.pumpAgain.set(true);
 		if (this.pumping.compareAndSet(false, true)) {
 			this.serial.execute(() -> pump(0));
@@ -160,7 +160,7 @@
 		if (idle >= all.size()) {
 			this.pumping.set(false);
 			if (this.pumpAgain.get()) {
-				roomChanged();
+				capacityChanged();
 			}
 			return;
 		}
@@ -173,13 +173,13 @@
 
 	@Override
 	public void acquired(int shard, Lease lease) {
-		this.builder.shardEvents.acquired(shard, lease);
+		this.builder.shardListener.acquired(shard, lease);
 		this.owners.computeIfAbsent(shard, this.ownerBuilder::build).own(lease);
 	}
 
 	@Override
 	public void lost(int shard, Lease lease) {
-		this.builder.shardEvents.lost(shard, lease);
+		this.builder.shardListener.lost(shard, lease);
 		ShardOwner owner = this.owners.get(shard);
 		if (owner != null) {
 			owner.lapse();
@@ -190,7 +190,7 @@
 	public CompletableFuture<Void> releasing(int shard, Lease lease) {
 		ShardOwner owner = this.owners.get(shard);
 		CompletableFuture<Void> left = (owner != null) ? owner.leave() : CompletableFuture.completedFuture(null);
-		return left.thenCompose((done) -> this.builder.shardEvents.releasing(shard, lease))
+		return left.thenCompose((done) -> this.builder.shardListener.releasing(shard, lease))
 			.whenComplete((done, failure) -> this.owners.remove(shard, owner));
 	}
 
@@ -283,9 +283,9 @@
 
 		private Supplier<Set<String>> entries = Set::of;
 
-		private ShardListener shardEvents = NOBODY;
+		private ShardListener shardListener = NOBODY;
 
-		private Predicate<BatchItem> repeatable = (item) -> true;
+		private Predicate<BatchItem> idempotent = (item) -> true;
 
 		private Optional<String> self = Optional.empty();
 
@@ -357,11 +357,11 @@
 
 		/**
 		 * Sets which items may be run again, besides what their lines say.
-		 * @param repeatable tells of an item whether its service may be called twice
+		 * @param idempotent tells of an item whether its service may be called twice
 		 * @return this builder
 		 */
-		public Builder repeatable(Predicate<BatchItem> repeatable) {
-			this.repeatable = Objects.requireNonNull(repeatable, "repeatable is null");
+		public Builder idempotent(Predicate<BatchItem> idempotent) {
+			this.idempotent = Objects.requireNonNull(idempotent, "idempotent is null");
 			return this;
 		}
 
@@ -370,8 +370,8 @@
 		 * @param events the listener
 		 * @return this builder
 		 */
-		public Builder shardEvents(ShardListener events) {
-			this.shardEvents = Objects.requireNonNull(events, "events is null");
+		public Builder shardListener(ShardListener events) {
+			this.shardListener = Objects.requireNonNull(events, "events is null");
 			return this;
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/LineChecks.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/LineValidator.java
@@ -12,11 +12,11 @@
 /**
  * Checks the lines of one file, each for itself and against those before it.
  */
-final class LineChecks {
+final class LineValidator {
 
 	private static final int MAX_MODELS = 32;
 
-	private final HashSet64 customIds = new HashSet64();
+	private final LongHashSet customIds = new LongHashSet();
 
 	private final Set<String> models = new TreeSet<>();
 
@@ -24,7 +24,7 @@
 
 	private String endpoint = "";
 
-	LineChecks(Function<BatchItem, String> rule) {
+	LineValidator(Function<BatchItem, String> rule) {
 		this.rule = Objects.requireNonNull(rule, "rule is null");
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/HashSet64.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/LongHashSet.java
@@ -4,7 +4,7 @@
  * A set of 64-bit hashes in one array, 16 bytes for each at most. It tells repeated names
  * in files of 750,000 lines apart within bounded memory.
  */
-final class HashSet64 {
+final class LongHashSet {
 
 	private static final int START = 1024;
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ResultRecord.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ResultRecord.java
@@ -124,7 +124,7 @@
 	 * @param resumes what items had generated when they gave way
 	 * @param moved how the items in the parts came out
 	 */
-	public record Head(long epoch, int items, List<String> parts, List<Integer> started, List<Resume> resumes,
+	public record Head(long epoch, int items, List<String> parts, List<Integer> started, List<ResumePoint> resumes,
 			JobCounts moved) {
 
 		/**
@@ -141,7 +141,7 @@
 			return new Head(owner, this.items, this.parts, this.started, this.resumes, this.moved);
 		}
 
-		Head with(List<Integer> nowStarted, List<Resume> nowResumes) {
+		Head with(List<Integer> nowStarted, List<ResumePoint> nowResumes) {
 			return new Head(this.epoch, this.items, this.parts, nowStarted, nowResumes, this.moved);
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/Resume.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ResumePoint.java
@@ -9,12 +9,12 @@
  * @param text the text so far
  * @param tokens the tokens so far
  */
-public record Resume(int index, String text, int tokens) {
+public record ResumePoint(int index, String text, int tokens) {
 
 	/**
 	 * Checks that all parts are there.
 	 */
-	public Resume {
+	public ResumePoint {
 		Objects.requireNonNull(text, "text is null");
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ShardOwner.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ShardOwner.java
@@ -27,7 +27,8 @@
 
 /**
  * Works on the jobs of one shard, as long as this entry holds its lease. Chooses which
- * item is next; {@link ItemRuns} runs items and {@link JobRecords} keeps the records.
+ * item is next; {@link ItemRunner} runs items and {@link JobRecordWriter} keeps the
+ * records.
  * <p>
  * All state can be read back from the platform: an owner that takes over lists the open
  * jobs of the shard and claims their chunks one after another.
@@ -44,15 +45,15 @@
 
 	private final SerialExecutor serial = new SerialExecutor();
 
-	private final ChunkClaim claims;
+	private final ChunkClaimer claims;
 
-	private final ItemRuns runs;
+	private final ItemRunner runs;
 
-	private final JobRecords records;
+	private final JobRecordWriter records;
 
-	private final FairShare shares;
+	private final StrideScheduler shares;
 
-	private final Pace pace = new Pace();
+	private final ItemRate pace = new ItemRate();
 
 	private final Map<JobId, JobRun> jobs = new HashMap<>();
 
@@ -70,10 +71,10 @@
 		this.builder = builder;
 		this.shard = shard;
 		ConditionalWriter writer = ConditionalWriter.of(builder.store, builder.stamps);
-		this.claims = new ChunkClaim(builder.store, writer, builder.repeatable);
-		this.shares = new FairShare(builder.weights);
-		this.runs = new ItemRuns(this, builder, new ChunkWriter(builder.store, writer));
-		this.records = new JobRecords(this, builder, writer);
+		this.claims = new ChunkClaimer(builder.store, writer, builder.idempotent);
+		this.shares = new StrideScheduler(builder.weights);
+		this.runs = new ItemRunner(this, builder, new ChunkWriter(builder.store, writer));
+		this.records = new JobRecordWriter(this, builder, writer);
 	}
 
 	/**
@@ -124,7 +125,7 @@
 		CompletableFuture<Void> left = new CompletableFuture<>();
 		this.serial.execute(() -> {
 			this.active = false;
-			this.jobs.values().stream().filter((job) -> !this.runs.runsOnce(job)).forEach(this.runs::callBack);
+			this.jobs.values().stream().filter((job) -> !this.runs.runsOnce(job)).forEach(this.runs::recall);
 			this.runs.whenQuiet(this::quiet, left);
 			this.builder.timers.schedule(this.builder.policy.grace(), () -> left.complete(null));
 		});
@@ -229,11 +230,11 @@
 		updatePace();
 		int sent = 0;
 		while (sent < most) {
-			Optional<JobRun> job = best((candidate) -> candidate.hasReady(this::room));
+			Optional<JobRun> job = best((candidate) -> candidate.hasReady(this::freeSlots));
 			if (job.isEmpty()) {
 				break;
 			}
-			this.runs.startNext(job.get(), this::room);
+			this.runs.startNext(job.get(), this::freeSlots);
 			this.shares.sent(job.get().record().account(), job.get().urgency());
 			sent++;
 		}
@@ -248,8 +249,8 @@
 				&& this.builder.held.apply(this.shard).filter((now) -> now.epoch() == this.epoch).isPresent();
 	}
 
-	private int room(String route) {
-		return this.builder.sender.room(route) - this.runs.startingOn(this.jobs.values(), route);
+	private int freeSlots(String route) {
+		return this.builder.sender.freeSlots(route) - this.runs.startingOn(this.jobs.values(), route);
 	}
 
 	private Optional<JobRun> best(Predicate<JobRun> candidates) {
@@ -326,7 +327,7 @@
 		}, this.serial);
 	}
 
-	private void opened(JobRun job, int number, ChunkClaim.Claimed claimed) {
+	private void opened(JobRun job, int number, ChunkClaimer.Claimed claimed) {
 		job.opened(number);
 		if (claimed.finished().isPresent()) {
 			job.chunkDone(number, claimed.finished().get());
@@ -432,7 +433,7 @@
 
 		Optional<Runnable> wake = Optional.empty();
 
-		Predicate<BatchItem> repeatable = (item) -> true;
+		Predicate<BatchItem> idempotent = (item) -> true;
 
 		private Builder(ObjectStore store, Stamps stamps, ItemSender sender) {
 			this.store = Objects.requireNonNull(store, "store is null");
@@ -486,11 +487,11 @@
 
 		/**
 		 * Sets which items may be run again, besides what their lines say.
-		 * @param repeatable tells of an item whether its service may be called twice
+		 * @param idempotent tells of an item whether its service may be called twice
 		 * @return this builder
 		 */
-		public Builder repeatable(Predicate<BatchItem> repeatable) {
-			this.repeatable = Objects.requireNonNull(repeatable, "repeatable is null");
+		public Builder idempotent(Predicate<BatchItem> idempotent) {
+			this.idempotent = Objects.requireNonNull(idempotent, "idempotent is null");
 			return this;
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/FairShare.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/StrideScheduler.java
@@ -10,13 +10,13 @@
  * Shares items out over accounts by their weights: stride scheduling, in which each item
  * moves its account back by the inverse of its weight.
  */
-final class FairShare {
+final class StrideScheduler {
 
 	private final Map<String, Double> passes = new HashMap<>();
 
 	private final ToIntFunction<String> weights;
 
-	FairShare(ToIntFunction<String> weights) {
+	StrideScheduler(ToIntFunction<String> weights) {
 		this.weights = Objects.requireNonNull(weights, "weights is null");
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/Upload.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/Upload.java
@@ -38,7 +38,7 @@
 
 	private final ChunkPacker packer;
 
-	private final LineChecks checks;
+	private final LineValidator checks;
 
 	private final MessageDigest digest = DigestUtils.getSha256Digest();
 
@@ -54,7 +54,7 @@
 		this.retry = intake.retry();
 		this.begun = begun;
 		this.record = record;
-		this.checks = new LineChecks(intake.rule());
+		this.checks = new LineValidator(intake.itemValidator());
 		this.packer = new ChunkPacker(this.checks);
 	}
 
@@ -104,7 +104,7 @@
 	 * @return the file's record; fails if something could not be stored or if the file
 	 * was sent before with other content
 	 */
-	public CompletableFuture<FileRecord> end() {
+	public CompletableFuture<FileRecord> complete() {
 		if (this.record.ready()) {
 			return same();
 		}
@@ -118,8 +118,8 @@
 		catch (JobException ex) {
 			return CompletableFuture.failedFuture(ex);
 		}
-		FileSize size = new FileSize(this.chunks, this.packer.items(), this.bytes, hash(), this.checks.models(),
-				this.checks.endpoint());
+		UploadSummary size = new UploadSummary(this.chunks, this.packer.items(), this.bytes, hash(),
+				this.checks.models(), this.checks.endpoint());
 		FileRecord ready = this.record.stored(size);
 		return settle(0).thenCompose((done) -> this.retry.call(() -> this.writer.update(this.begun, ready.text())))
 			.thenApply((stored) -> ready)
@@ -160,7 +160,7 @@
 			return CompletableFuture.completedFuture(null);
 		}
 		return settle(0).exceptionally((failure) -> null)
-			.thenCompose((done) -> Chunks.delete(this.store, this.record.input(), this.chunks))
+			.thenCompose((done) -> ChunkDeletion.delete(this.store, this.record.input(), this.chunks))
 			.exceptionally((failure) -> null);
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileSize.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/UploadSummary.java
@@ -12,5 +12,5 @@
  * @param models the models that the lines name, up to a bound
  * @param endpoint the path that all lines go to
  */
-record FileSize(int chunks, int items, long bytes, String sha256, List<String> models, String endpoint) {
+record UploadSummary(int chunks, int items, long bytes, String sha256, List<String> models, String endpoint) {
 }
--- a/modules/core/src/test/java/org/ragworthook/core/job/FakeSidecars.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/FakeSidecars.java
@@ -48,7 +48,7 @@
 		return new ItemSender() {
 
 			@Override
-			public int room(String route) {
+			public int freeSlots(String route) {
 				int free = FakeSidecars.this.capacity - FakeSidecars.this.running.size();
 				return FakeSidecars.this.dead.contains(entry) ? 0 : free;
 			}
@@ -61,12 +61,12 @@
 			@Override
 			public void cancel(JobId job) {
 				FakeSidecars.this.cancelled.add(job);
-				stop((item) -> item.request().name().job().equals(job));
+				stop((item) -> item.request().id().job().equals(job));
 			}
 
 			@Override
-			public void callBack(JobId job) {
-				stop((item) -> item.entry().equals(entry) && item.request().name().job().equals(job));
+			public void recall(JobId job) {
+				stop((item) -> item.entry().equals(entry) && item.request().id().job().equals(job));
 			}
 
 		};
@@ -80,13 +80,13 @@
 		if (this.fencing && request.epoch() < fence) {
 			return CompletableFuture.completedFuture(new ItemOutcome.Fenced());
 		}
-		if (this.cancelled.contains(request.name().job())) {
+		if (this.cancelled.contains(request.id().job())) {
 			return CompletableFuture.completedFuture(new ItemOutcome.Cancelled());
 		}
 		Running item = new Running(entry, request, new CompletableFuture<>());
 		this.running.add(item);
 		this.requests.add(request);
-		this.starts.merge(request.name().requestId(), 1, Integer::sum);
+		this.starts.merge(request.id().requestId(), 1, Integer::sum);
 		return item.outcome();
 	}
 
@@ -119,13 +119,13 @@
 		Running item = this.running.remove(position);
 		ItemOutcome end = outcome.apply(item.request());
 		if (end instanceof ItemOutcome.NotPassedOn) {
-			this.starts.merge(item.request().name().requestId(), -1, Integer::sum);
+			this.starts.merge(item.request().id().requestId(), -1, Integer::sum);
 		}
 		item.outcome().complete(end);
 	}
 
 	static ItemOutcome answer(ItemRequest request) {
-		return new ItemOutcome.Answered(200, "{\"echo\":\"" + request.name().customId() + "\"}");
+		return new ItemOutcome.Answered(200, "{\"echo\":\"" + request.id().customId() + "\"}");
 	}
 
 	int runningCount() {
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobCrashPointTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobCrashPointTests.java
@@ -73,7 +73,7 @@
 		for (int index = 0; index < ITEMS; index++) {
 			int most = (index % 2 == 1) ? 1 : 2;
 			assertWithMessage("starts of item " + index)
-				.that(world.sidecars.starts(new ItemName(id, 0, index, "").requestId()))
+				.that(world.sidecars.starts(new ItemId(id, 0, index, "").requestId()))
 				.isAtMost(most);
 		}
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobIntakeTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobIntakeTests.java
@@ -107,7 +107,7 @@
 		for (byte unit : JobWorld.lines(3).getBytes(StandardCharsets.UTF_8)) {
 			upload.write(new byte[] { unit }).join();
 		}
-		assertThat(upload.end().join().items()).isEqualTo(3);
+		assertThat(upload.complete().join().items()).isEqualTo(3);
 	}
 
 	// The entry dies at one of its store calls while it takes a job in. The caller sees a
@@ -172,7 +172,7 @@
 		this.first.faulty.plan((call) -> (call.number() < 3) ? Fault.NONE : Fault.DEAD_BEFORE);
 		this.first.submit("k", JobWorld.lines(2000));
 		assertThat(count(Kind.CHUNK)).isGreaterThan(0);
-		JobCollector collector = JobCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
+		JobGarbageCollector collector = JobGarbageCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
 				Duration.ofDays(30), Duration.ofHours(6));
 		collector.sweep(0).join();
 		assertThat(count(Kind.CHUNK)).isGreaterThan(0);
@@ -185,7 +185,7 @@
 	@Test
 	void shouldNotDeleteFileThatAJobReads() {
 		JobRecord job = this.first.submit("k", JobWorld.lines(3)).join();
-		JobCollector collector = JobCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
+		JobGarbageCollector collector = JobGarbageCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
 				Duration.ofDays(30), Duration.ofHours(6));
 		FileId input = FileId.parse(job.inputFile()).orElseThrow();
 		assertThat(failure(collector.delete(JobWorld.ACCOUNT, input))).isEqualTo(ErrorCode.FILE_IN_USE);
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobInterleavingTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobInterleavingTests.java
@@ -121,7 +121,7 @@
 
 		private void cancel() {
 			if (!this.cancelled && this.random.nextInt(4) == 0) {
-				JobCancel.of(this.world.store, Stamps.of("caller"), this.world.clock)
+				JobCanceller.of(this.world.store, Stamps.of("caller"), this.world.clock)
 					.cancel(JobWorld.ACCOUNT, this.id)
 					.thenAccept((job) -> acknowledged());
 			}
@@ -170,7 +170,7 @@
 			List<Integer> indexes = this.world.results(this.id).stream().map(ItemResult::index).sorted().toList();
 			assertThat(indexes).containsExactlyElementsIn(IntStream.range(0, ITEMS).boxed().toList());
 			for (int index = 0; index < ITEMS; index += 3) {
-				String request = new ItemName(this.id, 0, index, "").requestId();
+				String request = new ItemId(this.id, 0, index, "").requestId();
 				assertWithMessage("starts of " + request).that(this.world.sidecars.starts(request)).isAtMost(1);
 			}
 			if (this.cancelled) {
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobWorld.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobWorld.java
@@ -116,7 +116,7 @@
 
 		private final JobIntake jobs;
 
-		private final JobCancel cancels;
+		private final JobCanceller cancels;
 
 		Entry(String name) {
 			this.name = name;
@@ -125,7 +125,7 @@
 			world.listed.add(name);
 			this.files = FileIntake.builder(this.faulty, stamps, world.time, world.clock).build();
 			this.jobs = JobIntake.of(this.files, stamps, world.time, world.clock, 1);
-			this.cancels = JobCancel.of(this.faulty, stamps, world.clock);
+			this.cancels = JobCanceller.of(this.faulty, stamps, world.clock);
 			this.runner = JobRunner.builder(this.faulty, stamps, world.sidecars.of(name))
 				.time(world.time, world.time, world.clock)
 				.entries(() -> Set.copyOf(world.listed))
@@ -148,7 +148,7 @@
 			FileSpec spec = new FileSpec(ACCOUNT, Optional.of(key), FileSpec.BATCH, "items.jsonl");
 			byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
 			return this.files.begin(spec)
-				.thenCompose((upload) -> upload.write(bytes).thenCompose((done) -> upload.end()));
+				.thenCompose((upload) -> upload.write(bytes).thenCompose((done) -> upload.complete()));
 		}
 
 		CompletableFuture<Upload> begin(String key) {
--- a/modules/core/src/test/java/org/ragworthook/core/job/ShardOwnerTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/ShardOwnerTests.java
@@ -82,7 +82,7 @@
 	void shouldEndItemAfterBoundedAttempts(int status) {
 		JobId id = submit(JobWorld.lines(3));
 		for (int round = 0; round < 60; round++) {
-			this.world.sidecars.run((request) -> (request.name().index() == 1)
+			this.world.sidecars.run((request) -> (request.id().index() == 1)
 					? new ItemOutcome.Answered(status, "{\"error\":1}") : FakeSidecars.answer(request));
 			this.world.seconds(1);
 		}
@@ -108,8 +108,8 @@
 		JobId id = submit(JobWorld.lines(8));
 		for (int round = 0; round < 40; round++) {
 			this.world.sidecars.run((request) -> {
-				boolean culprit = request.name().index() == 3;
-				if (!request.alone()) {
+				boolean culprit = request.id().index() == 3;
+				if (!request.isolated()) {
 					return new ItemOutcome.Crashed(8);
 				}
 				return culprit ? new ItemOutcome.Crashed(1) : FakeSidecars.answer(request);
@@ -124,7 +124,7 @@
 		JobId id = submit(JobWorld.lines(1));
 		this.world.sidecars.end(0, (request) -> new ItemOutcome.Yielded("so far", 2));
 		ItemRequest again = this.world.sidecars.requests().get(1);
-		assertThat(again.resume()).hasValue(new Resume(0, "so far", 2));
+		assertThat(again.resume()).hasValue(new ResumePoint(0, "so far", 2));
 		assertThat(again.attempt()).isEqualTo(2);
 		assertThat(this.world.runToEnd(id).counts().completed()).isEqualTo(1);
 	}
@@ -179,7 +179,7 @@
 	@Test
 	void shouldEndItemWhoseAnswerNoRecordTakes() {
 		JobId id = submit(JobWorld.lines(2));
-		this.world.sidecars.run((request) -> (request.name().index() == 0)
+		this.world.sidecars.run((request) -> (request.id().index() == 0)
 				? new ItemOutcome.Answered(200, "\"" + "x".repeat(900_000) + "\"") : FakeSidecars.answer(request));
 		this.world.runToEnd(id);
 		assertThat(ends(id)).containsExactly("COMPLETED", 1L, "FAILED", 1L);
@@ -213,7 +213,7 @@
 			.root(this.entry.cancel(id).handle((value, failure) -> failure).join());
 		assertThat(ended.code()).isEqualTo(ErrorCode.JOB_ENDED);
 		JobException foreign = (JobException) Failures
-			.root(JobCancel.of(this.world.store, Stamps.of("x"), this.world.clock)
+			.root(JobCanceller.of(this.world.store, Stamps.of("x"), this.world.clock)
 				.cancel("other", id)
 				.handle((value, failure) -> failure)
 				.join());
@@ -228,7 +228,7 @@
 		JobId id = submit(JobWorld.lines(40));
 		JobWorld.Entry other = this.world.entry("b").start();
 		this.world.sidecars.end(0, FakeSidecars::answer);
-		this.entry.runner.leave();
+		this.entry.runner.releaseShards();
 		this.world.time.advance(Duration.ofMillis(50));
 		this.entry.die();
 		this.world.time.advance(Duration.ofMillis(950));
@@ -243,7 +243,7 @@
 	@Test
 	void shouldWaitForItemThatMayRunOnlyOnceWhenLeaving() {
 		JobId id = submit(JobWorld.line("once", false));
-		this.entry.runner.leave();
+		this.entry.runner.releaseShards();
 		this.world.seconds(1);
 		assertThat(this.entry.runner.shards()).containsExactly(0);
 		this.world.sidecars.end(0, FakeSidecars::answer);
@@ -274,8 +274,8 @@
 	void shouldCollectJobAfterRetention() {
 		JobId id = submit(JobWorld.lines(3));
 		this.world.runToEnd(id);
-		JobCollector collector = JobCollector.of(this.world.store, Stamps.of("c"), this.world.clock, Duration.ofDays(7),
-				Duration.ofHours(6));
+		JobGarbageCollector collector = JobGarbageCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
+				Duration.ofDays(7), Duration.ofHours(6));
 		collector.sweep(0).join();
 		assertThat(this.world.read(id, FileId.Content.OUTPUT)).hasSize(3);
 		this.entry.die();
@@ -287,7 +287,7 @@
 
 	@Test
 	void shouldShareByWeightAndRaiseUrgentJobs() {
-		FairShare shares = new FairShare((account) -> account.equals("heavy") ? 3 : 1);
+		StrideScheduler shares = new StrideScheduler((account) -> account.equals("heavy") ? 3 : 1);
 		shares.keep(Set.of("heavy", "light", "urgent"));
 		Map<String, Integer> sent = new HashMap<>();
 		for (int item = 0; item < 800; item++) {
--- a/modules/core/src/test/java/org/ragworthook/core/job/ShardTraceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/ShardTraceTests.java
@@ -130,7 +130,7 @@
 		private void dispatches() {
 			List<ItemRequest> requests = this.world.sidecars.requests();
 			for (ItemRequest request : requests.subList(this.seen, requests.size())) {
-				this.specification.dispatch(request.name().index(), request.epoch());
+				this.specification.dispatch(request.id().index(), request.epoch());
 			}
 			this.seen = requests.size();
 		}
--- a/modules/core/src/test/java/org/ragworthook/core/job/UploadFuzzTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/UploadFuzzTests.java
@@ -72,7 +72,7 @@
 			for (byte[] piece : pieces) {
 				written = written.thenCompose((before) -> upload.write(piece));
 			}
-			Optional<FileRecord> file = Optional.of(written.thenCompose((done) -> upload.end()).join());
+			Optional<FileRecord> file = Optional.of(written.thenCompose((done) -> upload.complete()).join());
 			world.store.list(Kind.CHUNK, Labels.empty())
 				.join()
 				.objects()
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/BatchPart.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/BatchPart.java
@@ -18,8 +18,8 @@
 import org.ragworthook.core.contract.Retention;
 import org.ragworthook.core.job.BatchItem;
 import org.ragworthook.core.job.FileIntake;
-import org.ragworthook.core.job.JobCancel;
-import org.ragworthook.core.job.JobCollector;
+import org.ragworthook.core.job.JobCanceller;
+import org.ragworthook.core.job.JobGarbageCollector;
 import org.ragworthook.core.job.JobIntake;
 import org.ragworthook.core.job.JobProgress;
 import org.ragworthook.core.job.JobResults;
@@ -84,10 +84,10 @@
 		FileIntake files = FileIntake.builder(this.store, this.stamps, timers, clock)
 			.shards(shards)
 			.retention(retention().results().plus(UPLOAD_LIMIT))
-			.rule(this::fault)
+			.itemValidator(this::fault)
 			.build();
 		JobIntake jobs = JobIntake.of(files, this.stamps, timers, clock, shards);
-		JobCancel cancels = JobCancel.of(this.store, this.stamps, clock);
+		JobCanceller cancels = JobCanceller.of(this.store, this.stamps, clock);
 		this.runner = JobRunner.builder(this.store, this.stamps, this.sender)
 			.time(Ticker.system(), timers, clock)
 			.shards(shards)
@@ -95,8 +95,8 @@
 			.entries(directory::entryAddresses)
 			.self(settings.link().toString())
 			.weights((account) -> currentWeights().of(account))
-			.repeatable(this.sender::repeatable)
-			.shardEvents(this)
+			.idempotent(this.sender::repeatable)
+			.shardListener(this)
 			.build();
 		JobResults results = JobResults.of(this.store);
 		this.routes = new BatchRoutes(reader, errors,
@@ -124,7 +124,7 @@
 	}
 
 	private void start(Vertx vertx) {
-		every(vertx, ROOM_MILLIS, this.runner::roomChanged);
+		every(vertx, ROOM_MILLIS, this.runner::capacityChanged);
 		every(vertx, COLLECT_MILLIS, this::collect);
 		every(vertx, PROGRESS_MILLIS, this::refreshProgress);
 		this.runner.start();
@@ -148,14 +148,14 @@
 	 * @return completes when the leases are released
 	 */
 	public CompletableFuture<Void> leave() {
-		return this.runner.leave();
+		return this.runner.releaseShards();
 	}
 
 	/**
 	 * Looks for shards that a peer has released, when it says that it leaves.
 	 */
 	public void peerLeaves() {
-		this.runner.lookForShards();
+		this.runner.acquireFreeShards();
 	}
 
 	/**
@@ -218,8 +218,9 @@
 
 	// -- collection
 
-	private JobCollector collector() {
-		return JobCollector.of(this.store, this.stamps, InstantSource.system(), retention().results(), UPLOAD_LIMIT);
+	private JobGarbageCollector collector() {
+		return JobGarbageCollector.of(this.store, this.stamps, InstantSource.system(), retention().results(),
+				UPLOAD_LIMIT);
 	}
 
 	private void collect() {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/FileRoutes.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/FileRoutes.java
@@ -14,7 +14,7 @@
 import org.ragworthook.core.job.FileIntake;
 import org.ragworthook.core.job.FileRecord;
 import org.ragworthook.core.job.FileSpec;
-import org.ragworthook.core.job.JobCollector;
+import org.ragworthook.core.job.JobGarbageCollector;
 import org.ragworthook.core.job.JobRecord;
 import org.ragworthook.core.job.JobResults;
 import org.ragworthook.core.job.Upload;
@@ -34,11 +34,11 @@
 
 	private final JobResults results;
 
-	private final Supplier<JobCollector> collector;
+	private final Supplier<JobGarbageCollector> collector;
 
 	private final long maxBytes;
 
-	FileRoutes(BatchThread thread, FileIntake files, JobResults results, Supplier<JobCollector> collector,
+	FileRoutes(BatchThread thread, FileIntake files, JobResults results, Supplier<JobGarbageCollector> collector,
 			long maxBytes) {
 		this.thread = Objects.requireNonNull(thread, "thread is null");
 		this.files = Objects.requireNonNull(files, "files is null");
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/JobRoutes.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/JobRoutes.java
@@ -14,7 +14,7 @@
 import org.ragworthook.core.error.JobException;
 import org.ragworthook.core.job.FileId;
 import org.ragworthook.core.job.ItemSender;
-import org.ragworthook.core.job.JobCancel;
+import org.ragworthook.core.job.JobCanceller;
 import org.ragworthook.core.job.JobId;
 import org.ragworthook.core.job.JobIntake;
 import org.ragworthook.core.job.JobRecord;
@@ -35,13 +35,13 @@
 
 	private final JobIntake jobs;
 
-	private final JobCancel cancels;
+	private final JobCanceller cancels;
 
 	private final JobResults results;
 
 	private final ItemSender sender;
 
-	JobRoutes(JobIntake jobs, JobCancel cancels, JobResults results, ItemSender sender) {
+	JobRoutes(JobIntake jobs, JobCanceller cancels, JobResults results, ItemSender sender) {
 		this.jobs = Objects.requireNonNull(jobs, "jobs is null");
 		this.cancels = Objects.requireNonNull(cancels, "cancels is null");
 		this.results = Objects.requireNonNull(results, "results is null");
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/LinkItemSender.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/LinkItemSender.java
@@ -65,7 +65,7 @@
 	// -- room
 
 	@Override
-	public int room(String route) {
+	public int freeSlots(String route) {
 		return sidecars(route).stream().mapToInt((sidecar) -> roomAt(sidecar).free()).sum();
 	}
 
@@ -125,7 +125,7 @@
 		}
 		Run run = run(request);
 		String key = run.getRequest() + "/" + run.getAttempt();
-		ItemExchange exchange = new ItemExchange(chosen.get(), request.name().job(), run.getRequest(),
+		ItemExchange exchange = new ItemExchange(chosen.get(), request.id().job(), run.getRequest(),
 				request.item().model(), this.ticker);
 		this.running.put(key, exchange);
 		roomAt(chosen.get()).sent();
@@ -139,7 +139,7 @@
 	private Run run(ItemRequest request) {
 		byte[] body = request.item().body().getBytes(StandardCharsets.UTF_8);
 		Run.Builder run = Run.newBuilder()
-			.setRequest(request.name().requestId() + "-" + request.epoch())
+			.setRequest(request.id().requestId() + "-" + request.epoch())
 			.setAttempt(request.attempt())
 			.setMethod("POST")
 			.setPath(path(request.item()))
@@ -148,11 +148,11 @@
 			.setRepeatable(request.item().idempotent())
 			.setCreated(this.clock.instant().getEpochSecond())
 			.setFingerprint(RequestReader.fingerprint(request.item().url(), body))
-			.setAlone(request.alone())
+			.setAlone(request.isolated())
 			.setAccount(request.account())
 			.setItem(item(request));
 		if (!request.item().model().isEmpty()) {
-			run.setAnswerId("chatcmpl-" + request.name().requestId());
+			run.setAnswerId("chatcmpl-" + request.id().requestId());
 		}
 		request.resume().ifPresent((resume) -> run.setResumeText(resume.text()).setResumeTokens(resume.tokens()));
 		return run.build();
@@ -160,9 +160,9 @@
 
 	private static Item item(ItemRequest request) {
 		return Item.newBuilder()
-			.setJob(request.name().job().hex())
-			.setChunk(request.name().chunk())
-			.setIndex(request.name().index())
+			.setJob(request.id().job().hex())
+			.setChunk(request.id().chunk())
+			.setIndex(request.id().index())
 			.setShard(request.shard())
 			.setEpoch(request.epoch())
 			.build();
@@ -197,7 +197,7 @@
 	}
 
 	@Override
-	public void callBack(JobId job) {
+	public void recall(JobId job) {
 		this.running.values().stream().filter((exchange) -> exchange.job().equals(job)).forEach(ItemExchange::callBack);
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/UploadCall.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/UploadCall.java
@@ -104,7 +104,7 @@
 			if (purpose != null && !purpose.equals(FileSpec.BATCH)) {
 				throw malformed("the purpose is '" + purpose + "', not 'batch'");
 			}
-			return upload.end();
+			return upload.complete();
 		});
 		stored.whenComplete((file, failure) -> {
 			if (failure != null) {
--- a/modules/standin/src/main/java/org/ragworthook/standin/bench/BatchBench.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/bench/BatchBench.java
@@ -94,7 +94,7 @@
 		for (int first = 0; first < items; first += PIECE_LINES) {
 			upload.write(lines(first, Math.min(items, first + PIECE_LINES))).join();
 		}
-		FileRecord file = upload.end().join();
+		FileRecord file = upload.complete().join();
 		return JobIntake.of(files(store, stamps), stamps, this.time, this.clock, 1)
 			.accept(new JobSpec(ACCOUNT, Optional.empty(), file.id(), ENDPOINT, Duration.ofHours(24), Map.of()))
 			.join();
@@ -191,7 +191,7 @@
 			}
 		}
 		peak = Math.max(peak, used() - before);
-		FileRecord file = upload.end().join();
+		FileRecord file = upload.complete().join();
 		double seconds = (System.nanoTime() - began) / 1e9;
 		return String.format(
 				"accept of %,d items, %,d MiB in %d chunks: %.1f MiB held at most, %.1f s, heap limit %d MiB",
@@ -257,7 +257,7 @@
 		entries.clear();
 		entries.add("q");
 		long began = this.time.nanos();
-		leaving.leave();
+		leaving.releaseShards();
 		awaitStart(next);
 		return String.format("planned leave: next item after %d ms", (this.time.nanos() - began) / 1_000_000);
 	}
--- a/modules/standin/src/main/java/org/ragworthook/standin/bench/SlotSender.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/bench/SlotSender.java
@@ -27,7 +27,7 @@
 	}
 
 	@Override
-	public int room(String route) {
+	public int freeSlots(String route) {
 		return this.slots - this.running.size();
 	}
 
@@ -47,7 +47,7 @@
 	}
 
 	@Override
-	public void callBack(JobId job) {
+	public void recall(JobId job) {
 		cancel(job);
 	}
 
--- a/modules/standin/src/main/java/org/ragworthook/standin/capacity/BatchWork.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/capacity/BatchWork.java
@@ -66,7 +66,7 @@
 	 */
 	JobId accept(String key, int items) {
 		FileRecord file = this.files.begin(new FileSpec(ACCOUNT, Optional.of(key), FileSpec.BATCH, key))
-			.thenCompose((upload) -> upload.write(lines(items)).thenCompose((done) -> upload.end()))
+			.thenCompose((upload) -> upload.write(lines(items)).thenCompose((done) -> upload.complete()))
 			.join();
 		JobSpec spec = new JobSpec(ACCOUNT, Optional.of(key), file.id(), ENDPOINT, Duration.ofHours(24), Map.of());
 		return this.jobs.accept(spec).join().id();
@@ -107,7 +107,7 @@
 	private record Answering(int places) implements ItemSender {
 
 		@Override
-		public int room(String route) {
+		public int freeSlots(String route) {
 			return this.places;
 		}
 
@@ -121,7 +121,7 @@
 		}
 
 		@Override
-		public void callBack(JobId job) {
+		public void recall(JobId job) {
 		}
 
 	}
