--- a/modules/core/src/main/java/org/ragworthook/core/job/Upload.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/Upload.java
@@ -101,9 +101,9 @@
 
 	/**
 	 * Completes the upload. The file is not visible before.
-	 * @return the record of the file; fails if a line is invalid, if the file has no lines,
-	 * if a chunk or the record could not be stored,
-	 * or if the file was uploaded before with other content
+	 * @return the record of the file; fails if a line is invalid, if the file has no
+	 * lines, if a chunk or the record could not be stored, or if the file was uploaded
+	 * before with other content
 	 */
 	public CompletableFuture<FileRecord> complete() {
 		if (this.record.ready()) {
