--- a/modules/cli/src/main/java/org/ragworthook/cli/command/ApplyCommand.java
+++ b/modules/cli/src/main/java/org/ragworthook/cli/command/ApplyCommand.java
@@ -12,7 +12,7 @@
 import org.ragworthook.cli.entry.CliException;
 import org.ragworthook.cli.output.ExitCode;
 import org.ragworthook.cli.output.Progress;
-import org.ragworthook.core.contract.Review;
+import org.ragworthook.core.contract.ValidationResult;
 
 /**
  * Submits a text and waits until every live process acts by it.
@@ -48,7 +48,7 @@
 	@Override
 	public ExitCode run(Session session) {
 		EditedText edited = edited(session);
-		Review review = ProblemReport.review(edited);
+		ValidationResult review = ProblemReport.review(edited);
 		if (!review.isAcceptable()) {
 			session.printer()
 				.print(ProblemReport.of(String.valueOf(this.file), review, edited.base().isPresent() ? 1 : 0));
--- a/modules/cli/src/main/java/org/ragworthook/cli/command/DiffCommand.java
+++ b/modules/cli/src/main/java/org/ragworthook/cli/command/DiffCommand.java
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpMethod;
 import org.kohsuke.args4j.Argument;
 import org.ragworthook.cli.output.ExitCode;
-import org.ragworthook.core.contract.Review;
+import org.ragworthook.core.contract.ValidationResult;
 
 /**
  * Says in words what would happen if a text were applied.
@@ -20,7 +20,7 @@
 	@Override
 	public ExitCode run(Session session) {
 		EditedText edited = EditedText.read(this.file);
-		Review review = ProblemReport.review(edited);
+		ValidationResult review = ProblemReport.review(edited);
 		if (!review.isAcceptable()) {
 			session.printer().print(ProblemReport.of(this.file.toString(), review, edited.base().isPresent() ? 1 : 0));
 			return ExitCode.REFUSED;
--- a/modules/cli/src/main/java/org/ragworthook/cli/command/ProblemReport.java
+++ b/modules/cli/src/main/java/org/ragworthook/cli/command/ProblemReport.java
@@ -9,7 +9,7 @@
 import org.ragworthook.cli.output.Report;
 import org.ragworthook.core.contract.Contract;
 import org.ragworthook.core.contract.Problem;
-import org.ragworthook.core.contract.Review;
+import org.ragworthook.core.contract.ValidationResult;
 
 /**
  * Checks a text before it leaves this machine and reports what is wrong with it.
@@ -21,11 +21,11 @@
 	private ProblemReport() {
 	}
 
-	static Review review(EditedText edited) {
-		return Contract.review(edited.base().orElse(0L) + 1, edited.text());
+	static ValidationResult review(EditedText edited) {
+		return Contract.validate(edited.base().orElse(0L) + 1, edited.text());
 	}
 
-	static Report of(String file, Review review, int hiddenLines) {
+	static Report of(String file, ValidationResult review, int hiddenLines) {
 		ObjectNode json = JSON.createObjectNode().put("valid", review.isAcceptable());
 		ArrayNode problems = json.putArray("problems");
 		Report report = Report.of(json, "PLACE", "SEVERITY", "PROBLEM", "REMEDY");
--- a/modules/cli/src/main/java/org/ragworthook/cli/command/ValidateCommand.java
+++ b/modules/cli/src/main/java/org/ragworthook/cli/command/ValidateCommand.java
@@ -4,7 +4,7 @@
 
 import org.kohsuke.args4j.Argument;
 import org.ragworthook.cli.output.ExitCode;
-import org.ragworthook.core.contract.Review;
+import org.ragworthook.core.contract.ValidationResult;
 
 /**
  * Checks a text without an entry.
@@ -17,7 +17,7 @@
 	@Override
 	public ExitCode run(Session session) {
 		EditedText edited = EditedText.read(this.file);
-		Review review = ProblemReport.review(edited);
+		ValidationResult review = ProblemReport.review(edited);
 		session.printer().print(ProblemReport.of(this.file.toString(), review, edited.base().isPresent() ? 1 : 0));
 		return review.isAcceptable() ? ExitCode.OK : ExitCode.REFUSED;
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/InForce.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ActiveContract.java
@@ -16,21 +16,21 @@
  * calling again. So a revision that is not newer than the one in force changes nothing,
  * whoever sends it.
  */
-public final class InForce {
+public final class ActiveContract {
 
 	private final AtomicReference<State> state = new AtomicReference<>(State.EMPTY);
 
 	private final List<Consumer<Contract>> listeners = new CopyOnWriteArrayList<>();
 
-	private InForce() {
+	private ActiveContract() {
 	}
 
 	/**
 	 * Returns a process's state before it knows of any text.
 	 * @return nothing in force
 	 */
-	public static InForce empty() {
-		return new InForce();
+	public static ActiveContract empty() {
+		return new ActiveContract();
 	}
 
 	/**
@@ -85,7 +85,7 @@
 	 * reads {@link #contract()}.
 	 * @param listener takes each contract
 	 */
-	public void listen(Consumer<Contract> listener) {
+	public void addListener(Consumer<Contract> listener) {
 		this.listeners.add(Objects.requireNonNull(listener, "listener is null"));
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/contract/SliceInForce.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ActiveSlice.java
@@ -14,19 +14,19 @@
  * has its own {@link Receiver}, or a change made and taken back would leave the sidecar
  * with the section of the middle version.
  */
-public final class SliceInForce {
+public final class ActiveSlice {
 
 	private final AtomicReference<State> state = new AtomicReference<>(new State(0, "", Optional.empty()));
 
-	private SliceInForce() {
+	private ActiveSlice() {
 	}
 
 	/**
 	 * Returns a sidecar's state before any slice.
 	 * @return nothing in force
 	 */
-	public static SliceInForce empty() {
-		return new SliceInForce();
+	public static ActiveSlice empty() {
+		return new ActiveSlice();
 	}
 
 	/**
@@ -72,9 +72,9 @@
 		public synchronized boolean take(Slice slice) {
 			Objects.requireNonNull(slice, "slice is null");
 			slice.section().ifPresent((sent) -> this.section = sent);
-			State before = SliceInForce.this.state.get();
+			State before = ActiveSlice.this.state.get();
 			State fresh = before.next(slice.version(), this.section);
-			State replaced = SliceInForce.this.state
+			State replaced = ActiveSlice.this.state
 				.getAndUpdate((present) -> (present.version() < fresh.version()) ? fresh : present);
 			return replaced.version() < fresh.version();
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Contract.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Contract.java
@@ -82,8 +82,8 @@
 	 * @throws ConfigException if the text breaks a rule; its detail lists every place
 	 */
 	public static Contract parse(long version, String text) {
-		Review review = review(version, text);
-		return review.contract().orElseThrow(() -> refused(review));
+		ValidationResult result = validate(version, text);
+		return result.contract().orElseThrow(() -> refused(result));
 	}
 
 	/**
@@ -92,17 +92,17 @@
 	 * @param text the JSON with comments
 	 * @return the contract if there is no error, and all problems
 	 */
-	public static Review review(long version, String text) {
+	public static ValidationResult validate(long version, String text) {
 		Objects.requireNonNull(text, "text is null");
 		Problems problems = new Problems();
 		Optional<Contract> read = ContractReader.read(version, text, problems);
 		List<Problem> found = problems.inOrder();
-		return new Review(found.stream().anyMatch(Problem::isError) ? Optional.empty() : read, found);
+		return new ValidationResult(found.stream().anyMatch(Problem::isError) ? Optional.empty() : read, found);
 	}
 
-	private static ConfigException refused(Review review) {
+	private static ConfigException refused(ValidationResult result) {
 		return new ConfigException(ErrorCode.CONFIG_INVALID,
-				review.errors().stream().map(Problem::toString).collect(Collectors.joining("\n")));
+				result.errors().stream().map(Problem::toString).collect(Collectors.joining("\n")));
 	}
 
 	/**
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Change.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractChange.java
@@ -7,22 +7,22 @@
  *
  * @param effect what kind of thing
  * @param subject the service, model or account concerned
- * @param words the change in words
+ * @param description the change in words
  */
-public record Change(Effect effect, String subject, String words) {
+public record ContractChange(Effect effect, String subject, String description) {
 
 	/**
 	 * Checks that all parts are there.
 	 */
-	public Change {
+	public ContractChange {
 		Objects.requireNonNull(effect, "effect is null");
 		Objects.requireNonNull(subject, "subject is null");
-		Objects.requireNonNull(words, "words is null");
+		Objects.requireNonNull(description, "description is null");
 	}
 
 	@Override
 	public String toString() {
-		return this.words;
+		return this.description;
 	}
 
 	/**
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractDiff.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractDiff.java
@@ -14,7 +14,7 @@
  */
 public final class ContractDiff {
 
-	private final List<Change> changes = new ArrayList<>();
+	private final List<ContractChange> changes = new ArrayList<>();
 
 	private ContractDiff() {
 	}
@@ -25,7 +25,7 @@
 	 * @param after the contract that would replace it
 	 * @return what would happen; nothing if both mean the same
 	 */
-	public static List<Change> between(Optional<Contract> before, Contract after) {
+	public static List<ContractChange> between(Optional<Contract> before, Contract after) {
 		Objects.requireNonNull(before, "before is null");
 		Objects.requireNonNull(after, "after is null");
 		ContractDiff diff = new ContractDiff();
@@ -36,8 +36,8 @@
 		return List.copyOf(diff.changes);
 	}
 
-	private void add(Change.Effect effect, String subject, String words) {
-		this.changes.add(new Change(effect, subject, words));
+	private void add(ContractChange.Effect effect, String subject, String words) {
+		this.changes.add(new ContractChange(effect, subject, words));
 	}
 
 	// -- services
@@ -47,14 +47,14 @@
 		Map<String, Service> fresh = byName(after, Service::name);
 		old.forEach((name, service) -> {
 			if (!fresh.containsKey(name)) {
-				add(Change.Effect.SERVICE, name, "service " + name + " is removed: its requests are refused");
+				add(ContractChange.Effect.SERVICE, name, "service " + name + " is removed: its requests are refused");
 				service.models().forEach((model) -> unload(service, model));
 			}
 		});
 		fresh.forEach((name, service) -> {
 			Service earlier = old.get(name);
 			if (earlier == null) {
-				add(Change.Effect.SERVICE, name, "service " + name + " is added with " + service.upstreams()
+				add(ContractChange.Effect.SERVICE, name, "service " + name + " is added with " + service.upstreams()
 						+ " upstreams in " + String.join(", ", service.failureDomains()));
 				service.models().forEach((model) -> load(service, model));
 			}
@@ -67,7 +67,7 @@
 	private void service(Service before, Service after) {
 		String name = after.name();
 		if (!before.failureDomains().equals(after.failureDomains())) {
-			add(Change.Effect.MOVE, name, "service " + name + ": replicas move from "
+			add(ContractChange.Effect.MOVE, name, "service " + name + ": replicas move from "
 					+ String.join(", ", before.failureDomains()) + " to " + String.join(", ", after.failureDomains()));
 		}
 		changed(name, "upstreams", before.upstreams(), after.upstreams());
@@ -89,7 +89,8 @@
 
 	private void changed(String service, String what, Object before, Object after) {
 		if (!before.equals(after)) {
-			add(Change.Effect.SERVICE, service, "service " + service + ": " + what + " " + before + " -> " + after);
+			add(ContractChange.Effect.SERVICE, service,
+					"service " + service + ": " + what + " " + before + " -> " + after);
 		}
 	}
 
@@ -112,20 +113,21 @@
 	}
 
 	private void load(Service service, Model model) {
-		add(Change.Effect.LOAD, model.name(),
+		add(ContractChange.Effect.LOAD, model.name(),
 				"load " + model.id() + " on " + model.replicas().min() + " to " + model.replicas().max()
 						+ " upstreams of " + service.name() + ", over " + model.replicas().failureDomains()
 						+ " failure domains");
-		model.adapters().forEach((adapter) -> adapter(Change.Effect.LOAD, "load", model, adapter));
+		model.adapters().forEach((adapter) -> adapter(ContractChange.Effect.LOAD, "load", model, adapter));
 	}
 
 	private void unload(Service service, Model model) {
-		add(Change.Effect.UNLOAD, model.name(), "unload " + model.id() + " from every upstream of " + service.name());
+		add(ContractChange.Effect.UNLOAD, model.name(),
+				"unload " + model.id() + " from every upstream of " + service.name());
 	}
 
 	private void model(Service service, Model before, Model after) {
 		if (!before.version().equals(after.version())) {
-			add(Change.Effect.ROLL_OUT, after.name(), "roll out " + after.id() + " in place of " + before.id()
+			add(ContractChange.Effect.ROLL_OUT, after.name(), "roll out " + after.id() + " in place of " + before.id()
 					+ " on the upstreams of " + service.name() + ", one after the other");
 		}
 		if (!before.replicas().equals(after.replicas())) {
@@ -135,22 +137,22 @@
 		before.adapters()
 			.stream()
 			.filter((adapter) -> !after.adapters().contains(adapter))
-			.forEach((adapter) -> adapter(Change.Effect.UNLOAD, "unload", after, adapter));
+			.forEach((adapter) -> adapter(ContractChange.Effect.UNLOAD, "unload", after, adapter));
 		after.adapters()
 			.stream()
 			.filter((adapter) -> !before.adapters().contains(adapter))
-			.forEach((adapter) -> adapter(Change.Effect.LOAD, "load", after, adapter));
+			.forEach((adapter) -> adapter(ContractChange.Effect.LOAD, "load", after, adapter));
 	}
 
-	private void adapter(Change.Effect effect, String verb, Model model, String adapter) {
+	private void adapter(ContractChange.Effect effect, String verb, Model model, String adapter) {
 		add(effect, adapter, verb + " adapter " + adapter + " of " + model.name());
 	}
 
-	private static Change.Effect effect(Replicas before, Replicas after) {
+	private static ContractChange.Effect effect(Replicas before, Replicas after) {
 		if (before.min() != after.min()) {
-			return (after.min() > before.min()) ? Change.Effect.LOAD : Change.Effect.UNLOAD;
+			return (after.min() > before.min()) ? ContractChange.Effect.LOAD : ContractChange.Effect.UNLOAD;
 		}
-		return Change.Effect.MOVE;
+		return ContractChange.Effect.MOVE;
 	}
 
 	private static String words(Replicas replicas) {
@@ -165,12 +167,13 @@
 		old.keySet()
 			.stream()
 			.filter((name) -> !fresh.containsKey(name))
-			.forEach((name) -> add(Change.Effect.ACCOUNT, name,
+			.forEach((name) -> add(ContractChange.Effect.ACCOUNT, name,
 					"account " + name + " is removed: its keys open nothing and nobody reads its results"));
 		fresh.forEach((name, account) -> {
 			Account earlier = old.get(name);
 			if (earlier == null) {
-				add(Change.Effect.ACCOUNT, name, "account " + name + " is added with weight " + account.weight());
+				add(ContractChange.Effect.ACCOUNT, name,
+						"account " + name + " is added with weight " + account.weight());
 			}
 			else {
 				account(earlier, account);
@@ -180,7 +183,7 @@
 
 	private void account(Account before, Account after) {
 		if (!before.keys().equals(after.keys())) {
-			add(Change.Effect.ACCOUNT, after.name(),
+			add(ContractChange.Effect.ACCOUNT, after.name(),
 					"account " + after.name() + ": " + keys(before.keys(), after.keys()));
 		}
 		accountChanged(after, "weight", before.weight(), after.weight());
@@ -190,7 +193,7 @@
 
 	private void accountChanged(Account account, String what, Object before, Object after) {
 		if (!before.equals(after)) {
-			add(Change.Effect.ACCOUNT, account.name(),
+			add(ContractChange.Effect.ACCOUNT, account.name(),
 					"account " + account.name() + ": " + what + " " + before + " -> " + after);
 		}
 	}
@@ -216,15 +219,16 @@
 		old.keySet()
 			.stream()
 			.filter((name) -> !fresh.containsKey(name))
-			.forEach(
-					(name) -> add(Change.Effect.OPERATOR, name, "operator " + name + " may no longer change the text"));
+			.forEach((name) -> add(ContractChange.Effect.OPERATOR, name,
+					"operator " + name + " may no longer change the text"));
 		fresh.forEach((name, operator) -> {
 			Operator earlier = old.get(name);
 			if (earlier == null) {
-				add(Change.Effect.OPERATOR, name, "operator " + name + " may change the text");
+				add(ContractChange.Effect.OPERATOR, name, "operator " + name + " may change the text");
 			}
 			else if (!earlier.keys().equals(operator.keys())) {
-				add(Change.Effect.OPERATOR, name, "operator " + name + ": " + keys(earlier.keys(), operator.keys()));
+				add(ContractChange.Effect.OPERATOR, name,
+						"operator " + name + ": " + keys(earlier.keys(), operator.keys()));
 			}
 		});
 	}
@@ -244,7 +248,7 @@
 
 	private void other(String what, Object before, Object after) {
 		if (!before.equals(after)) {
-			add(Change.Effect.OTHER, what, what + " " + before + " -> " + after);
+			add(ContractChange.Effect.OTHER, what, what + " " + before + " -> " + after);
 		}
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractRegister.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractRepository.java
@@ -32,7 +32,7 @@
  * the entry stop between two writes, the next change finds the copy, and a snapshot that
  * no head names does no harm; the history plus the newest head has no gap at any moment.
  */
-public final class ContractRegister {
+public final class ContractRepository {
 
 	/** The object that holds the newest revision. */
 	public static final ObjectKey NEWEST = ObjectKey.of(Kind.CONFIG, "contract");
@@ -48,7 +48,7 @@
 
 	private final RevisionStore revisions;
 
-	private ContractRegister(ObjectStore store, ConditionalWriter writer, InstantSource clock) {
+	private ContractRepository(ObjectStore store, ConditionalWriter writer, InstantSource clock) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.writer = Objects.requireNonNull(writer, "writer is null");
 		this.clock = Objects.requireNonNull(clock, "clock is null");
@@ -62,8 +62,8 @@
 	 * @param clock tells when a text is accepted
 	 * @return the register
 	 */
-	public static ContractRegister of(ObjectStore store, ConditionalWriter writer, InstantSource clock) {
-		return new ContractRegister(store, writer, clock);
+	public static ContractRepository of(ObjectStore store, ConditionalWriter writer, InstantSource clock) {
+		return new ContractRepository(store, writer, clock);
 	}
 
 	// -- reading
@@ -101,13 +101,13 @@
 	 */
 	public CompletableFuture<List<RevisionHead>> history() {
 		return this.store.list(Kind.CONFIG, RevisionStore.HISTORY_LABELS)
-			.thenCombine(this.store.read(NEWEST), ContractRegister::newestFirst);
+			.thenCombine(this.store.read(NEWEST), ContractRepository::newestFirst);
 	}
 
 	private static List<RevisionHead> newestFirst(Listing listing, Optional<Stored> newest) {
 		List<RevisionHead> heads = new ArrayList<>();
 		listing.objects().forEach((stored) -> heads.add(head(stored)));
-		newest.map(ContractRegister::head)
+		newest.map(ContractRepository::head)
 			.filter((present) -> heads.stream().noneMatch((old) -> old.version() == present.version()))
 			.ifPresent(heads::add);
 		long oldest = heads.stream().mapToLong(RevisionHead::version).min().orElse(0);
@@ -132,7 +132,7 @@
 	 * @return the accepted revision; fails with a {@link ConfigException} if the text is
 	 * refused, and with a store's error if the platform did not take it
 	 */
-	public CompletableFuture<Revision> accept(Proposal proposal, long inForce, OpenWork open) {
+	public CompletableFuture<Revision> accept(Proposal proposal, long inForce, OpenJobCounts open) {
 		Contract contract;
 		try {
 			contract = valid(proposal, open);
@@ -146,7 +146,7 @@
 			.thenCompose((accepted) -> forget(accepted, contract.retention().changes()));
 	}
 
-	private static Contract valid(Proposal proposal, OpenWork open) {
+	private static Contract valid(Proposal proposal, OpenJobCounts open) {
 		Contract contract = Contract.parse(proposal.base() + 1, proposal.text());
 		List<Problem> stranded = proposal.strand() ? List.of() : open.strandedBy(contract);
 		if (!stranded.isEmpty()) {
@@ -279,7 +279,7 @@
 			.thenCombine(this.store.read(RevisionStore.changeKey(fresh.version())),
 					(newest, kept) -> Stream.of(newest, kept)
 						.flatMap(Optional::stream)
-						.map(ContractRegister::head)
+						.map(ContractRepository::head)
 						.anyMatch(fresh::equals))
 			.thenCompose((accepted) -> accepted ? CompletableFuture.completedFuture(fresh.with(proposal.text()))
 					: CompletableFuture.failedFuture(failure));
@@ -299,7 +299,7 @@
 	}
 
 	private static String words(Optional<Revision> base, Revision newest, Proposal proposal) {
-		Optional<Contract> edited = base.map(ContractRegister::contract);
+		Optional<Contract> edited = base.map(ContractRepository::contract);
 		String theirs = changes(edited, contract(newest));
 		String own = changes(edited, Contract.parse(proposal.base() + 1, proposal.text()));
 		return proposal.author() + " edited version " + proposal.base() + ", but " + newest.title()
@@ -312,9 +312,9 @@
 	}
 
 	private static String changes(Optional<Contract> before, Contract after) {
-		List<Change> changes = ContractDiff.between(before, after);
+		List<ContractChange> changes = ContractDiff.between(before, after);
 		return changes.isEmpty() ? "nothing but comments"
-				: changes.stream().map(Change::words).collect(Collectors.joining(", "));
+				: changes.stream().map(ContractChange::description).collect(Collectors.joining(", "));
 	}
 
 	/**
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractWatch.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractWatch.java
@@ -15,8 +15,8 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Keeps {@link InForce} up with the platform: lists, watches from there, and lists again
- * whenever the watch ends.
+ * Keeps {@link ActiveContract} up with the platform: lists, watches from there, and lists
+ * again whenever the watch ends.
  * <p>
  * A watch can also fall silent without ending. The process would then act by an old text
  * while its peers moved on, so it lists again from time to time as well. Delays are drawn
@@ -33,7 +33,7 @@
 
 	private final ObjectStore store;
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final Timers timers;
 
@@ -53,8 +53,8 @@
 
 	private boolean closed;
 
-	private ContractWatch(ObjectStore store, InForce inForce, Timers timers, RandomGenerator random, Executor work,
-			Consumer<Throwable> failures) {
+	private ContractWatch(ObjectStore store, ActiveContract inForce, Timers timers, RandomGenerator random,
+			Executor work, Consumer<Throwable> failures) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.inForce = Objects.requireNonNull(inForce, "inForce is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
@@ -75,7 +75,7 @@
 	 * @param failures is told of listings that failed and of texts that cannot be read
 	 * @return the watch, which goes on until it is closed
 	 */
-	public static ContractWatch start(ObjectStore store, InForce inForce, Timers timers, RandomGenerator random,
+	public static ContractWatch start(ObjectStore store, ActiveContract inForce, Timers timers, RandomGenerator random,
 			Executor work, Consumer<Throwable> failures) {
 		ContractWatch started = new ContractWatch(store, inForce, timers, random, work, failures);
 		started.list(started.round.incrementAndGet());
@@ -86,7 +86,7 @@
 		if (isOver(current)) {
 			return;
 		}
-		this.store.list(Kind.CONFIG, ContractRegister.NEWEST_LABELS).whenComplete((listing, failure) -> {
+		this.store.list(Kind.CONFIG, ContractRepository.NEWEST_LABELS).whenComplete((listing, failure) -> {
 			if (failure != null) {
 				this.failures.accept(failure);
 				again(current, backOff());
@@ -99,7 +99,7 @@
 
 	private void follow(long current, Listing listing) {
 		listing.objects().forEach((object) -> take(current, object));
-		ObjectStore.Watch opened = this.store.watch(Kind.CONFIG, ContractRegister.NEWEST_LABELS, listing.version(),
+		ObjectStore.Watch opened = this.store.watch(Kind.CONFIG, ContractRepository.NEWEST_LABELS, listing.version(),
 				(event) -> {
 					recovered();
 					if (!event.gone()) {
@@ -117,7 +117,7 @@
 	}
 
 	private void take(long current, Stored object) {
-		if (ContractRegister.NEWEST.equals(object.key())) {
+		if (ContractRepository.NEWEST.equals(object.key())) {
 			this.work.execute(() -> restore(current, object));
 		}
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/OpenWork.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/OpenJobCounts.java
@@ -11,14 +11,14 @@
  * @param jobsByAccount open jobs by name of their account
  * @param jobsByModel open jobs by the model, adapter or service that they ask for
  */
-public record OpenWork(Map<String, Integer> jobsByAccount, Map<String, Integer> jobsByModel) {
+public record OpenJobCounts(Map<String, Integer> jobsByAccount, Map<String, Integer> jobsByModel) {
 
-	private static final OpenWork NONE = new OpenWork(Map.of(), Map.of());
+	private static final OpenJobCounts NONE = new OpenJobCounts(Map.of(), Map.of());
 
 	/**
 	 * Copies the counts.
 	 */
-	public OpenWork {
+	public OpenJobCounts {
 		jobsByAccount = Map.copyOf(Objects.requireNonNull(jobsByAccount, "jobsByAccount is null"));
 		jobsByModel = Map.copyOf(Objects.requireNonNull(jobsByModel, "jobsByModel is null"));
 	}
@@ -27,7 +27,7 @@
 	 * Returns no work.
 	 * @return the empty counts
 	 */
-	public static OpenWork none() {
+	public static OpenJobCounts none() {
 		return NONE;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Revision.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Revision.java
@@ -9,10 +9,10 @@
  * @param version a number that grows by one with each accepted change
  * @param author the operator who submitted it
  * @param reason why, in the operator's words
- * @param accepted when, by the clock of the entry that accepted it
+ * @param acceptedAt when, by the clock of the entry that accepted it
  * @param text the JSON with comments
  */
-public record Revision(long version, String author, String reason, Instant accepted, String text) {
+public record Revision(long version, String author, String reason, Instant acceptedAt, String text) {
 
 	/**
 	 * Checks that all parts are there.
@@ -20,7 +20,7 @@
 	public Revision {
 		Objects.requireNonNull(author, "author is null");
 		Objects.requireNonNull(reason, "reason is null");
-		Objects.requireNonNull(accepted, "accepted is null");
+		Objects.requireNonNull(acceptedAt, "acceptedAt is null");
 		Objects.requireNonNull(text, "text is null");
 	}
 
@@ -29,7 +29,7 @@
 	 * @return version, author, time and reason
 	 */
 	public String title() {
-		return "version " + this.version + " by " + this.author + " at " + this.accepted + " (" + this.reason + ")";
+		return "version " + this.version + " by " + this.author + " at " + this.acceptedAt + " (" + this.reason + ")";
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/contract/RevisionCodec.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/RevisionCodec.java
@@ -106,7 +106,7 @@
 			.put("version", head.version())
 			.put("author", head.author())
 			.put("reason", head.reason())
-			.put("acceptedMillis", head.accepted().toEpochMilli())
+			.put("acceptedMillis", head.acceptedAt().toEpochMilli())
 			.put("digest", head.digest())
 			.put("snapshotVersion", head.snapshotVersion())
 			.put("snapshot", head.snapshot());
--- a/modules/core/src/main/java/org/ragworthook/core/contract/RevisionHead.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/RevisionHead.java
@@ -13,7 +13,7 @@
  * @param version a number that grows by one with each accepted change
  * @param author the operator who submitted it
  * @param reason why, in the operator's words
- * @param accepted when, by the clock of the entry that accepted it
+ * @param acceptedAt when, by the clock of the entry that accepted it
  * @param digest the SHA-256 of the text in hex digits
  * @param snapshotVersion the version of the newest snapshot that is not newer than this
  * @param snapshot the name of that snapshot's object
@@ -21,7 +21,7 @@
  * version is the snapshot
  * @param replaced of a version that is the snapshot: the name of the snapshot before it
  */
-public record RevisionHead(long version, String author, String reason, Instant accepted, String digest,
+public record RevisionHead(long version, String author, String reason, Instant acceptedAt, String digest,
 		long snapshotVersion, String snapshot, Optional<TextDelta> delta, Optional<String> replaced) {
 
 	/**
@@ -30,7 +30,7 @@
 	public RevisionHead {
 		Objects.requireNonNull(author, "author is null");
 		Objects.requireNonNull(reason, "reason is null");
-		Objects.requireNonNull(accepted, "accepted is null");
+		Objects.requireNonNull(acceptedAt, "acceptedAt is null");
 		Objects.requireNonNull(digest, "digest is null");
 		Objects.requireNonNull(snapshot, "snapshot is null");
 		Objects.requireNonNull(delta, "delta is null");
@@ -52,7 +52,7 @@
 	 * @return the revision
 	 */
 	Revision with(String text) {
-		return new Revision(this.version, this.author, this.reason, this.accepted, text);
+		return new Revision(this.version, this.author, this.reason, this.acceptedAt, text);
 	}
 
 	/**
@@ -60,7 +60,7 @@
 	 * @return version, author, time and reason
 	 */
 	public String title() {
-		return "version " + this.version + " by " + this.author + " at " + this.accepted + " (" + this.reason + ")";
+		return "version " + this.version + " by " + this.author + " at " + this.acceptedAt + " (" + this.reason + ")";
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/contract/SliceSender.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/SliceEncoder.java
@@ -7,7 +7,7 @@
  * Works out what one link to a sidecar still has to be told. Most changes concern other
  * services; the sidecar is then told the version only, a few bytes.
  */
-public final class SliceSender {
+public final class SliceEncoder {
 
 	private final String service;
 
@@ -15,7 +15,7 @@
 
 	private String sentSection = "";
 
-	private SliceSender(String service) {
+	private SliceEncoder(String service) {
 		this.service = Objects.requireNonNull(service, "service is null");
 	}
 
@@ -24,8 +24,8 @@
 	 * @param service the service of the sidecar's upstream
 	 * @return a sender that has sent nothing
 	 */
-	public static SliceSender of(String service) {
-		return new SliceSender(service);
+	public static SliceEncoder of(String service) {
+		return new SliceEncoder(service);
 	}
 
 	/**
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Review.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ValidationResult.java
@@ -10,12 +10,12 @@
  * @param contract the contract, if the text may be accepted
  * @param problems everything found, by place
  */
-public record Review(Optional<Contract> contract, List<Problem> problems) {
+public record ValidationResult(Optional<Contract> contract, List<Problem> problems) {
 
 	/**
 	 * Copies the problems.
 	 */
-	public Review {
+	public ValidationResult {
 		Objects.requireNonNull(contract, "contract is null");
 		problems = List.copyOf(Objects.requireNonNull(problems, "problems is null"));
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/contract/InForceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ActiveContractTests.java
@@ -19,7 +19,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class InForceTests {
+class ActiveContractTests {
 
 	// Watches repeat events, listings overtake them, and a peer that was cut off offers
 	// what it last knew. Whatever the order, an operator who looks twice must never see
@@ -27,9 +27,9 @@
 	// older version the second time.
 	@Property(seed = "42", tries = 200)
 	void shouldOnlyMoveForward(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 9) Integer> versions) {
-		InForce inForce = InForce.empty();
+		ActiveContract inForce = ActiveContract.empty();
 		List<Long> told = new ArrayList<>();
-		inForce.listen((contract) -> told.add(contract.version()));
+		inForce.addListener((contract) -> told.add(contract.version()));
 		long highest = 0;
 		for (int version : versions) {
 			assertThat(inForce.offer(Texts.revision(version, Texts.desk()))).isEqualTo(version > highest);
@@ -44,7 +44,7 @@
 	// on serving by the text it has.
 	@Test
 	void shouldKeepTheTextInForceWhenTheNextCannotBeRead() {
-		InForce inForce = InForce.empty();
+		ActiveContract inForce = ActiveContract.empty();
 		inForce.offer(Texts.revision(1, Texts.desk()));
 		Revision strange = Texts.revision(2, Texts.desk("\"colour\": 1"));
 		assertThat(Texts.failureOf(() -> inForce.offer(strange)).code()).isEqualTo(ErrorCode.CONFIG_INVALID);
@@ -58,19 +58,19 @@
 	void shouldCatchUpAfterAGapInTheWatch() {
 		MemoryObjectStore memory = MemoryObjectStore.empty();
 		FaultyStore store = FaultyStore.over(memory);
-		ContractRegister register = ContractRegister.of(memory, ConditionalWriter.of(memory, Stamps.of("entry-2")),
+		ContractRepository register = ContractRepository.of(memory, ConditionalWriter.of(memory, Stamps.of("entry-2")),
 				() -> Instant.EPOCH);
 		ManualTime time = ManualTime.of();
-		InForce inForce = InForce.empty();
+		ActiveContract inForce = ActiveContract.empty();
 		List<Throwable> failures = new ArrayList<>();
 		try (ContractWatch watch = ContractWatch.start(store, inForce, time, new Random(1), Runnable::run,
 				failures::add)) {
-			register.accept(new Proposal(Texts.desk(), 0, "ana", "first", false), 0, OpenWork.none()).join();
+			register.accept(new Proposal(Texts.desk(), 0, "ana", "first", false), 0, OpenJobCounts.none()).join();
 			assertThat(inForce.version()).isEqualTo(1);
 			store.failCallsFrom(1, FaultyStore.Fault.OUTAGE);
 			memory.endWatches();
 			time.advance(Duration.ofSeconds(30));
-			register.accept(new Proposal(Texts.weight(3), 1, "ana", "gap", false), 0, OpenWork.none()).join();
+			register.accept(new Proposal(Texts.weight(3), 1, "ana", "gap", false), 0, OpenJobCounts.none()).join();
 			assertThat(inForce.version()).isEqualTo(1);
 			store.heal();
 			time.advance(Duration.ofSeconds(5));
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ContractRegisterTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ContractRepositoryTests.java
@@ -20,15 +20,15 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-class ContractRegisterTests {
+class ContractRepositoryTests {
 
 	private final FaultyStore store = FaultyStore.over(MemoryObjectStore.empty());
 
-	private final ContractRegister register = ContractRegister.of(this.store,
+	private final ContractRepository register = ContractRepository.of(this.store,
 			ConditionalWriter.of(this.store, Stamps.of("entry-1")), () -> Instant.EPOCH);
 
 	private Revision accept(String author, long base, String text) {
-		return this.register.accept(new Proposal(text, base, author, "test", false), 0, OpenWork.none()).join();
+		return this.register.accept(new Proposal(text, base, author, "test", false), 0, OpenJobCounts.none()).join();
 	}
 
 	private String text(long version) {
@@ -73,10 +73,11 @@
 	@Test
 	void shouldRefuseAnEditThatLosesTheRaceAtThePlatform() {
 		accept("ana", 0, Texts.desk());
-		ContractRegister other = ContractRegister.of(this.store.healthy(),
+		ContractRepository other = ContractRepository.of(this.store.healthy(),
 				ConditionalWriter.of(this.store.healthy(), Stamps.of("entry-2")), () -> Instant.EPOCH);
 		this.store.beforeNextUpdate(
-				() -> other.accept(new Proposal(Texts.weight(3), 1, "ben", "race", false), 0, OpenWork.none()).join());
+				() -> other.accept(new Proposal(Texts.weight(3), 1, "ben", "race", false), 0, OpenJobCounts.none())
+					.join());
 		assertThat(refusal("ana", 1, Texts.weight(9)).code()).isEqualTo(ErrorCode.CONFIG_CONFLICT);
 		assertThat(this.register.newest().join().orElseThrow().author()).isEqualTo("ben");
 	}
@@ -130,7 +131,7 @@
 	@Test
 	void shouldRefuseATextThatStrandsAcceptedJobs() {
 		accept("ana", 0, Texts.desk());
-		OpenWork open = new OpenWork(Map.of("office", 3), Map.of("m", 3));
+		OpenJobCounts open = new OpenJobCounts(Map.of("office", 3), Map.of("m", 3));
 		String text = Texts.desk().replace("\"office\"", "\"shop\"");
 		Proposal proposal = new Proposal(text, 1, "ana", "rename", false);
 		RagworthookException refusal = Texts.failureOf(() -> this.register.accept(proposal, 0, open).join());
@@ -145,7 +146,7 @@
 	@Test
 	void shouldNumberAboveTheVersionInForceAfterTheObjectWasDeleted() {
 		Proposal proposal = new Proposal(Texts.desk(), 0, "ana", "anew", false);
-		assertThat(this.register.accept(proposal, 41, OpenWork.none()).join().version()).isEqualTo(42);
+		assertThat(this.register.accept(proposal, 41, OpenJobCounts.none()).join().version()).isEqualTo(42);
 	}
 
 	@Test
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ContractReviewTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ContractValidationTests.java
@@ -9,7 +9,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class ContractReviewTests {
+class ContractValidationTests {
 
 	static Stream<Arguments> mistakes() {
 		return Stream.of(
@@ -37,7 +37,7 @@
 	void shouldNamePlaceAndRemedyOfAMistake(String right, String wrong, String at, String message) {
 		assertThat(Texts.desk()).contains(right);
 		String text = Texts.desk().replace(right, wrong);
-		Review review = Contract.review(1, text);
+		ValidationResult review = Contract.validate(1, text);
 		assertThat(review.isAcceptable()).isFalse();
 		Problem found = review.errors()
 			.stream()
@@ -54,7 +54,7 @@
 		String text = Texts.desk("\"colour\": 1")
 			.replace("\"upstreams\": 4", "\"upstreams\": true")
 			.replace("\"weight\": 2", "\"weight\": 2.5");
-		Review review = Contract.review(1, text);
+		ValidationResult review = Contract.validate(1, text);
 		assertThat(review.errors().stream().map(Problem::line).toList()).containsExactly(5, 7, 10, 10).inOrder();
 	}
 
@@ -63,12 +63,12 @@
 		String text = Texts.desk()
 			.replace("\"upstreams\": 4", "\"upstreams\": 4, \"dependsOn\": [\"bookings\"]")
 			.replace("\"upstreams\": 1", "\"upstreams\": 1, \"dependsOn\": [\"desk\"]");
-		assertThat(Contract.review(1, text).errors().get(0).message()).contains("desk -> bookings -> desk");
+		assertThat(Contract.validate(1, text).errors().get(0).message()).contains("desk -> bookings -> desk");
 	}
 
 	@Test
 	void shouldWarnOfAnAccountWithoutKeys() {
-		Review review = Contract.review(1, Texts.desk("\"operators\": [{\"name\": \"ana\"}]"));
+		ValidationResult review = Contract.validate(1, Texts.desk("\"operators\": [{\"name\": \"ana\"}]"));
 		assertThat(review.isAcceptable()).isTrue();
 		assertThat(review.warnings()).hasSize(1);
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ExamplesTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ExamplesTests.java
@@ -17,7 +17,7 @@
 	void shouldReadTheDeploymentsTexts(String file, String service, String adapter, String key, String account,
 			String plain, String path) throws IOException {
 		String text = Files.readString(Path.of("../../examples", file + ".json"));
-		Review review = Contract.review(7, text);
+		ValidationResult review = Contract.validate(7, text);
 		assertThat(review.problems()).isEmpty();
 		Contract contract = Contract.parse(7, text);
 		assertThat(contract.version()).isEqualTo(7);
--- a/modules/core/src/test/java/org/ragworthook/core/contract/RevisionStoreTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/RevisionStoreTests.java
@@ -35,19 +35,19 @@
 
 	private final MemoryObjectStore store = MemoryObjectStore.empty();
 
-	private final ContractRegister register = ContractRegister.of(this.store,
+	private final ContractRepository register = ContractRepository.of(this.store,
 			ConditionalWriter.of(this.store, Stamps.of("entry")), () -> Instant.EPOCH);
 
 	private final List<String> texts = new ArrayList<>(List.of(""));
 
 	private void change(String text) {
 		long base = this.texts.size() - 1;
-		this.register.accept(new Proposal(text, base, "ana", "test", false), 0, OpenWork.none()).join();
+		this.register.accept(new Proposal(text, base, "ana", "test", false), 0, OpenJobCounts.none()).join();
 		this.texts.add(text);
 	}
 
 	private RevisionHead newestHead() {
-		return RevisionCodec.parseHead(this.store.read(ContractRegister.NEWEST).join().orElseThrow().text());
+		return RevisionCodec.parseHead(this.store.read(ContractRepository.NEWEST).join().orElseThrow().text());
 	}
 
 	@Property(tries = 500, seed = "20261202")
@@ -78,7 +78,7 @@
 	void shouldSendFewBytesForAnEditOfALongText() {
 		change(accounts(6000, 1));
 		change(accounts(6000, 2));
-		Stored head = this.store.read(ContractRegister.NEWEST).join().orElseThrow();
+		Stored head = this.store.read(ContractRepository.NEWEST).join().orElseThrow();
 		assertThat(this.texts.get(2).length()).isGreaterThan(600_000);
 		assertThat(head.draft().bytes()).isLessThan(1000);
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/contract/SliceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/SliceTests.java
@@ -10,7 +10,7 @@
 
 	@Test
 	void shouldSendTheVersionOnlyWhenTheServiceIsNotConcerned() {
-		SliceSender sender = SliceSender.of("desk");
+		SliceEncoder sender = SliceEncoder.of("desk");
 		assertThat(sender.next(Contract.parse(1, Texts.desk())).flatMap(Slice::section)).isPresent();
 		assertThat(sender.next(Contract.parse(2, Texts.weight(3))).orElseThrow().section()).isEmpty();
 		assertThat(sender.next(Contract.parse(3, Texts.deskVersion("v2"))).flatMap(Slice::section)).isPresent();
@@ -24,11 +24,11 @@
 	// was rolled back.
 	@Test
 	void shouldReadUnchangedAgainstTheSameLink() {
-		SliceSender quick = SliceSender.of("desk");
-		SliceSender slow = SliceSender.of("desk");
-		SliceInForce inForce = SliceInForce.empty();
-		SliceInForce.Receiver fromQuick = inForce.receiver();
-		SliceInForce.Receiver fromSlow = inForce.receiver();
+		SliceEncoder quick = SliceEncoder.of("desk");
+		SliceEncoder slow = SliceEncoder.of("desk");
+		ActiveSlice inForce = ActiveSlice.empty();
+		ActiveSlice.Receiver fromQuick = inForce.receiver();
+		ActiveSlice.Receiver fromSlow = inForce.receiver();
 		Contract first = Contract.parse(1, Texts.desk());
 		Contract middle = Contract.parse(2, Texts.deskVersion("v2"));
 		Contract last = Contract.parse(3, Texts.desk());
@@ -42,7 +42,7 @@
 		assertThat(inForce.version()).isEqualTo(3);
 	}
 
-	private static Optional<String> version(SliceInForce inForce) {
+	private static Optional<String> version(ActiveSlice inForce) {
 		return inForce.service().map((service) -> service.models().get(0).version());
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/AdminRoutes.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/AdminRoutes.java
@@ -15,12 +15,12 @@
 import io.vertx.ext.web.Router;
 import io.vertx.ext.web.RoutingContext;
 import io.vertx.ext.web.handler.BodyHandler;
-import org.ragworthook.core.contract.Change;
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.Contract;
+import org.ragworthook.core.contract.ContractChange;
 import org.ragworthook.core.contract.ContractDiff;
-import org.ragworthook.core.contract.ContractRegister;
-import org.ragworthook.core.contract.InForce;
-import org.ragworthook.core.contract.OpenWork;
+import org.ragworthook.core.contract.ContractRepository;
+import org.ragworthook.core.contract.OpenJobCounts;
 import org.ragworthook.core.contract.Proposal;
 import org.ragworthook.core.contract.Revision;
 import org.ragworthook.core.error.ConfigException;
@@ -42,9 +42,9 @@
 
 	private static final Pattern VERSION = Pattern.compile("\"?(\\d{1,18})\"?");
 
-	private final ContractRegister register;
+	private final ContractRepository register;
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final OperatorAccess access;
 
@@ -116,7 +116,7 @@
 		return new JsonObject().put("version", revision.version())
 			.put("author", revision.author())
 			.put("reason", revision.reason())
-			.put("accepted", revision.accepted().toString());
+			.put("accepted", revision.acceptedAt().toString());
 	}
 
 	private CompletableFuture<JsonObject> apply(RoutingContext routing, String operator) {
@@ -157,17 +157,17 @@
 		}, this.work);
 	}
 
-	private CompletableFuture<OpenWork> openWork(String text) {
+	private CompletableFuture<OpenJobCounts> openWork(String text) {
 		return CompletableFuture
-			.supplyAsync(() -> Contract.review(this.inForce.version() + 1, text).contract(), this.work)
+			.supplyAsync(() -> Contract.validate(this.inForce.version() + 1, text).contract(), this.work)
 			.thenCompose((after) -> this.openJobs.concernedBy(this.inForce.contract(), after));
 	}
 
-	private static JsonArray changes(List<Change> changes) {
+	private static JsonArray changes(List<ContractChange> changes) {
 		JsonArray array = new JsonArray();
 		changes.forEach((change) -> array.add(new JsonObject().put("effect", change.effect().name())
 			.put("subject", change.subject())
-			.put("words", change.words())));
+			.put("words", change.description())));
 		return array;
 	}
 
@@ -177,7 +177,7 @@
 			revisions.forEach((head) -> changes.add(new JsonObject().put("version", head.version())
 				.put("author", head.author())
 				.put("reason", head.reason())
-				.put("accepted", head.accepted().toString())));
+				.put("accepted", head.acceptedAt().toString())));
 			return new JsonObject().put("changes", changes);
 		});
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/ControlLane.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/ControlLane.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.Contract;
-import org.ragworthook.core.contract.InForce;
 import org.ragworthook.core.contract.Slice;
-import org.ragworthook.core.contract.SliceSender;
+import org.ragworthook.core.contract.SliceEncoder;
 import org.ragworthook.wire.link.Link;
 import org.ragworthook.wire.link.LinkListener;
 import org.ragworthook.wire.message.ContractSlice;
@@ -22,15 +22,15 @@
  */
 public final class ControlLane implements LinkListener {
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final Map<Link, Session> sessions = new ConcurrentHashMap<>();
 
 	private final List<LinkListener> others = new CopyOnWriteArrayList<>();
 
-	ControlLane(InForce inForce) {
+	ControlLane(ActiveContract inForce) {
 		this.inForce = Objects.requireNonNull(inForce, "inForce is null");
-		inForce.listen((contract) -> this.sessions.values().forEach(this::push));
+		inForce.addListener((contract) -> this.sessions.values().forEach(this::push));
 	}
 
 	/**
@@ -89,13 +89,13 @@
 
 		private final Link link;
 
-		private final SliceSender sender;
+		private final SliceEncoder sender;
 
 		private volatile long version;
 
 		private Session(Link link) {
 			this.link = link;
-			this.sender = SliceSender.of(link.remote().service());
+			this.sender = SliceEncoder.of(link.remote().service());
 			this.version = link.remote().contractVersion();
 		}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/ControlPart.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/ControlPart.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 
 import io.vertx.ext.web.Router;
-import org.ragworthook.core.contract.ContractRegister;
-import org.ragworthook.core.contract.InForce;
+import org.ragworthook.core.contract.ActiveContract;
+import org.ragworthook.core.contract.ContractRepository;
 import org.ragworthook.core.reconcile.UpstreamUsage;
 import org.ragworthook.core.store.ConditionalWriter;
 import org.ragworthook.core.store.ObjectStore;
@@ -32,7 +32,7 @@
 
 	private final String instance;
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final ControlLane lane;
 
@@ -55,7 +55,7 @@
 		this.reconciler = new FleetReconciler(builder.inForce, builder.store, builder.peers, builder.instance,
 				builder.timers, builder.work);
 		this.lane.listen(this.reconciler);
-		ContractRegister register = ContractRegister.of(builder.store,
+		ContractRepository register = ContractRepository.of(builder.store,
 				ConditionalWriter.of(builder.store, Stamps.of(builder.instance + "/control")), InstantSource.system());
 		this.admin = new AdminRoutes(new Parts(register, builder.inForce,
 				new OperatorAccess(builder.inForce, builder.settings.operatorKeys()),
@@ -71,7 +71,7 @@
 	 * @param inForce the contract in force here
 	 * @return a builder whose other parts are all to be set
 	 */
-	public static Builder builder(DaemonSettings settings, String instance, InForce inForce) {
+	public static Builder builder(DaemonSettings settings, String instance, ActiveContract inForce) {
 		return new Builder(settings, instance, inForce);
 	}
 
@@ -129,8 +129,8 @@
 	 * @param openJobs counts accepted jobs that have not ended
 	 * @param errors writes errors
 	 */
-	record Parts(ContractRegister register, InForce inForce, OperatorAccess access, FleetStatus status, Drains drains,
-			OpenJobs openJobs, ErrorResponses errors) {
+	record Parts(ContractRepository register, ActiveContract inForce, OperatorAccess access, FleetStatus status,
+			Drains drains, OpenJobs openJobs, ErrorResponses errors) {
 	}
 
 	/**
@@ -142,7 +142,7 @@
 
 		private final String instance;
 
-		private final InForce inForce;
+		private final ActiveContract inForce;
 
 		private ObjectStore store;
 
@@ -157,7 +157,7 @@
 		private Runnable drain = () -> {
 		};
 
-		private Builder(DaemonSettings settings, String instance, InForce inForce) {
+		private Builder(DaemonSettings settings, String instance, ActiveContract inForce) {
 			this.settings = Objects.requireNonNull(settings, "settings is null");
 			this.instance = Objects.requireNonNull(instance, "instance is null");
 			this.inForce = Objects.requireNonNull(inForce, "inForce is null");
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/FleetReconciler.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/FleetReconciler.java
@@ -16,8 +16,8 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.Contract;
-import org.ragworthook.core.contract.InForce;
 import org.ragworthook.core.lease.Lease;
 import org.ragworthook.core.lease.ShardLeases;
 import org.ragworthook.core.lease.ShardListener;
@@ -64,7 +64,7 @@
 
 	private static final Duration ORDER_TIMEOUT = Duration.ofMinutes(10);
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final Ticker ticker;
 
@@ -86,7 +86,7 @@
 
 	private volatile boolean closed;
 
-	FleetReconciler(InForce inForce, ObjectStore store, PeerLinks peers, String instance, Timers timers,
+	FleetReconciler(ActiveContract inForce, ObjectStore store, PeerLinks peers, String instance, Timers timers,
 			Executor work) {
 		this.inForce = Objects.requireNonNull(inForce, "inForce is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/OpenJobs.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/OpenJobs.java
@@ -10,7 +10,7 @@
 
 import org.ragworthook.core.contract.Account;
 import org.ragworthook.core.contract.Contract;
-import org.ragworthook.core.contract.OpenWork;
+import org.ragworthook.core.contract.OpenJobCounts;
 import org.ragworthook.core.job.JobRecord;
 import org.ragworthook.core.store.Kind;
 import org.ragworthook.core.store.Labels;
@@ -30,9 +30,9 @@
 		this.store = Objects.requireNonNull(store, "store is null");
 	}
 
-	CompletableFuture<OpenWork> concernedBy(Optional<Contract> before, Optional<Contract> after) {
+	CompletableFuture<OpenJobCounts> concernedBy(Optional<Contract> before, Optional<Contract> after) {
 		if (before.isEmpty() || after.isEmpty() || !takesAway(before.get(), after.get())) {
-			return CompletableFuture.completedFuture(OpenWork.none());
+			return CompletableFuture.completedFuture(OpenJobCounts.none());
 		}
 		return this.store.list(Kind.JOB, Labels.of(JobRecord.STATE, JobRecord.OPEN)).thenApply(OpenJobs::count);
 	}
@@ -49,7 +49,7 @@
 		return contract.accounts().stream().map(Account::name).collect(Collectors.toSet());
 	}
 
-	private static OpenWork count(Listing listing) {
+	private static OpenJobCounts count(Listing listing) {
 		Map<String, Integer> byAccount = new HashMap<>();
 		Map<String, Integer> byModel = new HashMap<>();
 		listing.objects().forEach((stored) -> {
@@ -57,7 +57,7 @@
 			byAccount.merge(job.account(), 1, Integer::sum);
 			job.models().forEach((model) -> byModel.merge(model, 1, Integer::sum));
 		});
-		return new OpenWork(byAccount, byModel);
+		return new OpenJobCounts(byAccount, byModel);
 	}
 
 }
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/OperatorAccess.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/OperatorAccess.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 import io.vertx.core.http.HttpServerRequest;
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.Contract;
-import org.ragworthook.core.contract.InForce;
 import org.ragworthook.core.contract.KeyHash;
 import org.ragworthook.core.contract.Operator;
 import org.ragworthook.core.error.AccessException;
@@ -24,11 +24,11 @@
 
 	private static final String BEARER = "Bearer ";
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final Map<String, String> settingsKeys;
 
-	OperatorAccess(InForce inForce, Map<String, String> settingsKeys) {
+	OperatorAccess(ActiveContract inForce, Map<String, String> settingsKeys) {
 		this.inForce = Objects.requireNonNull(inForce, "inForce is null");
 		this.settingsKeys = Map.copyOf(settingsKeys);
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/PeerContract.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/PeerContract.java
@@ -9,7 +9,7 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-import org.ragworthook.core.contract.InForce;
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.Revision;
 import org.ragworthook.core.error.ErrorCode;
 import org.ragworthook.core.error.LinkException;
@@ -41,7 +41,7 @@
 
 	private final PeerLinks peers;
 
-	private final InForce inForce;
+	private final ActiveContract inForce;
 
 	private final Timers timers;
 
@@ -51,7 +51,7 @@
 
 	private volatile boolean closed;
 
-	PeerContract(PeerLinks peers, InForce inForce, Timers timers, Executor work, Supplier<PeerState> state) {
+	PeerContract(PeerLinks peers, ActiveContract inForce, Timers timers, Executor work, Supplier<PeerState> state) {
 		this.peers = Objects.requireNonNull(peers, "peers is null");
 		this.inForce = Objects.requireNonNull(inForce, "inForce is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
@@ -117,7 +117,7 @@
 			.setText(revision.text())
 			.setAuthor(revision.author())
 			.setReason(revision.reason())
-			.setAcceptedMillis(revision.accepted().toEpochMilli())
+			.setAcceptedMillis(revision.acceptedAt().toEpochMilli())
 			.build()
 			.toByteString();
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/control/SidecarControl.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/control/SidecarControl.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 import com.google.protobuf.ByteString;
+import org.ragworthook.core.contract.ActiveSlice;
 import org.ragworthook.core.contract.Slice;
-import org.ragworthook.core.contract.SliceInForce;
 import org.ragworthook.core.error.ConfigException;
 import org.ragworthook.core.log.EventLog;
 import org.ragworthook.core.time.Timers;
@@ -37,9 +37,9 @@
 
 	private static final EventLog LOG = EventLog.of(SidecarControl.class);
 
-	private final SliceInForce slices = SliceInForce.empty();
+	private final ActiveSlice slices = ActiveSlice.empty();
 
-	private final Map<Link, SliceInForce.Receiver> receivers = new ConcurrentHashMap<>();
+	private final Map<Link, ActiveSlice.Receiver> receivers = new ConcurrentHashMap<>();
 
 	private final LinkCalls calls;
 
@@ -74,7 +74,7 @@
 	 * Returns what is in force here.
 	 * @return the version and the service
 	 */
-	public SliceInForce inForce() {
+	public ActiveSlice inForce() {
 		return this.slices;
 	}
 
@@ -94,7 +94,7 @@
 	}
 
 	private void slice(Link link, ContractSlice message) {
-		SliceInForce.Receiver receiver = this.receivers.get(link);
+		ActiveSlice.Receiver receiver = this.receivers.get(link);
 		if (receiver == null) {
 			return;
 		}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/EntryProcess.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/EntryProcess.java
@@ -21,8 +21,8 @@
 import io.vertx.core.http.HttpServer;
 import io.vertx.ext.web.Router;
 import org.ragworthook.core.close.Closer;
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.ContractWatch;
-import org.ragworthook.core.contract.InForce;
 import org.ragworthook.core.error.ErrorCode;
 import org.ragworthook.core.error.LinkException;
 import org.ragworthook.core.fleet.Address;
@@ -67,7 +67,7 @@
 
 	private final String instance;
 
-	private final InForce inForce = InForce.empty();
+	private final ActiveContract inForce = ActiveContract.empty();
 
 	private final ControlPart control;
 
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/control/OpenJobsTests.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/control/OpenJobsTests.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.ragworthook.core.contract.Contract;
 import org.ragworthook.core.contract.KeyHash;
-import org.ragworthook.core.contract.OpenWork;
+import org.ragworthook.core.contract.OpenJobCounts;
 import org.ragworthook.core.contract.Problem;
 import org.ragworthook.core.job.JobRecord;
 import org.ragworthook.core.store.Draft;
@@ -38,7 +38,7 @@
 			.join();
 	}
 
-	private OpenWork concernedBy(Contract after) {
+	private OpenJobCounts concernedBy(Contract after) {
 		return this.jobs.concernedBy(Optional.of(contract("office", "m")), Optional.of(after)).join();
 	}
 
@@ -59,7 +59,7 @@
 	@Test
 	void shouldNotListJobsForAChangeThatTakesNothingAway() {
 		job("a1", "office", "m", JobRecord.OPEN);
-		assertThat(concernedBy(contract("office", "m"))).isEqualTo(OpenWork.none());
+		assertThat(concernedBy(contract("office", "m"))).isEqualTo(OpenJobCounts.none());
 	}
 
 }
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/whole/WholeFleet.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/whole/WholeFleet.java
@@ -18,8 +18,8 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
 import org.ragworthook.core.close.Closer;
-import org.ragworthook.core.contract.ContractRegister;
-import org.ragworthook.core.contract.OpenWork;
+import org.ragworthook.core.contract.ContractRepository;
+import org.ragworthook.core.contract.OpenJobCounts;
 import org.ragworthook.core.contract.Proposal;
 import org.ragworthook.core.fleet.Address;
 import org.ragworthook.core.store.ConditionalWriter;
@@ -81,9 +81,9 @@
 	private void accept(String text) {
 		HttpObjectStore store = this.closer
 			.add(HttpObjectStore.of(this.vertx, PlatformSettings.of(new Address("127.0.0.1", this.objects))));
-		ContractRegister
+		ContractRepository
 			.of(store, ConditionalWriter.of(store, Stamps.of("test")), () -> Instant.ofEpochSecond(1_000_000_000))
-			.accept(new Proposal(text, 0, "test", "first", false), 0, OpenWork.none())
+			.accept(new Proposal(text, 0, "test", "first", false), 0, OpenJobCounts.none())
 			.join();
 	}
 
--- a/modules/standin/src/main/java/org/ragworthook/standin/capacity/ContractPart.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/capacity/ContractPart.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 import java.util.List;
 
+import org.ragworthook.core.contract.ActiveContract;
 import org.ragworthook.core.contract.Contract;
-import org.ragworthook.core.contract.InForce;
 import org.ragworthook.core.contract.Revision;
 
 /**
@@ -59,8 +59,8 @@
 				new Quantity("processor time of a change, ms", parse));
 	}
 
-	private static InForce inForce(Revision revision) {
-		InForce inForce = InForce.empty();
+	private static ActiveContract inForce(Revision revision) {
+		ActiveContract inForce = ActiveContract.empty();
 		inForce.offer(revision);
 		return inForce;
 	}
--- a/modules/standin/src/main/java/org/ragworthook/standin/capacity/WatchPart.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/capacity/WatchPart.java
@@ -7,10 +7,10 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-import org.ragworthook.core.contract.ContractRegister;
+import org.ragworthook.core.contract.ActiveContract;
+import org.ragworthook.core.contract.ContractRepository;
 import org.ragworthook.core.contract.ContractWatch;
-import org.ragworthook.core.contract.InForce;
-import org.ragworthook.core.contract.OpenWork;
+import org.ragworthook.core.contract.OpenJobCounts;
 import org.ragworthook.core.contract.Proposal;
 import org.ragworthook.core.store.ConditionalWriter;
 import org.ragworthook.core.store.MemoryObjectStore;
@@ -51,13 +51,13 @@
 	public List<Quantity> measure(int size) {
 		CountingStore store = new CountingStore(MemoryObjectStore.empty());
 		ManualTime time = ManualTime.of();
-		ContractRegister register = ContractRegister.of(store, ConditionalWriter.of(store, Stamps.of("bench")),
+		ContractRepository register = ContractRepository.of(store, ConditionalWriter.of(store, Stamps.of("bench")),
 				InstantSource.fixed(Instant.EPOCH));
 		String text = ContractTexts.of(ACCOUNTS, MODELS);
 		accept(register, text, 0);
 		Random random = new Random(size);
 		IntStream.range(0, size)
-			.forEach((number) -> ContractWatch.start(store, InForce.empty(), time, random, Runnable::run,
+			.forEach((number) -> ContractWatch.start(store, ActiveContract.empty(), time, random, Runnable::run,
 					WatchPart::failed));
 		store.reset();
 		time.advance(Duration.ofMinutes(MINUTES));
@@ -71,8 +71,8 @@
 				new Quantity("writes for a change", store.writes()), new Quantity("reads for a change", store.reads()));
 	}
 
-	private static void accept(ContractRegister register, String text, long base) {
-		register.accept(new Proposal(text, base, "bench", "capacity", false), base, OpenWork.none()).join();
+	private static void accept(ContractRepository register, String text, long base) {
+		register.accept(new Proposal(text, base, "bench", "capacity", false), base, OpenJobCounts.none()).join();
 	}
 
 	private static void failed(Throwable failure) {
--- a/modules/standin/src/main/java/org/ragworthook/standin/control/TextBench.java
+++ b/modules/standin/src/main/java/org/ragworthook/standin/control/TextBench.java
@@ -5,7 +5,7 @@
 import org.ragworthook.core.contract.Contract;
 import org.ragworthook.core.contract.ContractDiff;
 import org.ragworthook.core.contract.Slice;
-import org.ragworthook.core.contract.SliceSender;
+import org.ragworthook.core.contract.SliceEncoder;
 import org.ragworthook.wire.message.ContractSlice;
 import org.ragworthook.wire.message.Frame;
 
@@ -33,7 +33,7 @@
 		String text = Texts.of(accounts, MODELS, 11_000, 4, 400);
 		Contract before = Contract.parse(1_000_000, text);
 		Contract after = Contract.parse(1_000_001, text.replaceFirst("\"weight\": 2", "\"weight\": 3"));
-		SliceSender sender = SliceSender.of(Texts.SERVICE);
+		SliceEncoder sender = SliceEncoder.of(Texts.SERVICE);
 		int first = bytes(sender.next(before));
 		int unchanged = bytes(sender.next(after));
 		System.out.println(
