--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/BatchCall.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/BatchCall.java
@@ -50,7 +50,7 @@
 	}
 
 	Optional<String> idempotencyKey() {
-		return Optional.ofNullable(request().getHeader(RequestReader.KEY_HEADER));
+		return Optional.ofNullable(request().getHeader(RequestReader.IDEMPOTENCY_KEY_HEADER));
 	}
 
 	FileId fileId() {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/ItemExchange.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/ItemExchange.java
@@ -9,7 +9,7 @@
 import org.ragworthook.core.job.JobId;
 import org.ragworthook.core.routing.Upstream;
 import org.ragworthook.core.time.Ticker;
-import org.ragworthook.daemon.entry.Exchange;
+import org.ragworthook.daemon.entry.AttemptListener;
 import org.ragworthook.daemon.entry.Sidecar;
 import org.ragworthook.wire.message.Done;
 import org.ragworthook.wire.message.Lane;
@@ -18,7 +18,7 @@
 /**
  * One attempt at an item. Gathers the answer, which comes as a whole.
  */
-final class ItemExchange implements Exchange {
+final class ItemExchange implements AttemptListener {
 
 	private static final int NOT_FOUND = 404;
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/batch/LinkItemSender.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/batch/LinkItemSender.java
@@ -80,7 +80,7 @@
 		return service
 			.map((name) -> this.directory.sidecars()
 				.stream()
-				.filter((sidecar) -> sidecar.service().equals(name) && sidecar.takes(Lane.LANE_BATCH))
+				.filter((sidecar) -> sidecar.service().equals(name) && sidecar.accepts(Lane.LANE_BATCH))
 				.filter((sidecar) -> sidecar.upstream().serves(model, this.ticker.nanos()))
 				.toList())
 			.orElse(List.of());
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Exchange.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AttemptListener.java
@@ -8,7 +8,7 @@
  * link's thread, which they must not block. {@code done} or {@code lost} is the last
  * call.
  */
-public interface Exchange {
+public interface AttemptListener {
 
 	/**
 	 * A piece of the answer has come.
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineAttempt.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineAttempt.java
@@ -14,7 +14,7 @@
  * One attempt at an online request. Calls come on the link's thread and are handed over
  * to the request's context.
  */
-final class OnlineAttempt implements Exchange {
+final class OnlineAttempt implements AttemptListener {
 
 	private final OnlineExchange exchange;
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/RequestReader.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/RequestReader.java
@@ -42,7 +42,7 @@
 	public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
 	/** The header that marks resends of one request. */
-	public static final String KEY_HEADER = "Idempotency-Key";
+	public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
 	private static final int PROMPT_HEAD = 1024;
 
@@ -166,7 +166,7 @@
 			.setCreated(this.clock.instant().getEpochSecond())
 			.setAccount(account.name())
 			.setFingerprint(fingerprint(request.path(), bytes))
-			.setIdempotencyKey(Optional.ofNullable(request.getHeader(KEY_HEADER)).orElse(""));
+			.setIdempotencyKey(Optional.ofNullable(request.getHeader(IDEMPOTENCY_KEY_HEADER)).orElse(""));
 	}
 
 	/**
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Sidecar.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Sidecar.java
@@ -112,7 +112,7 @@
 	 * @param lane online or batch
 	 * @return whether the lane's link is open and the sidecar does not leave
 	 */
-	public boolean takes(Lane lane) {
+	public boolean accepts(Lane lane) {
 		Link link = this.lanes.get(lane).link;
 		return !this.leaving && link != null && link.open();
 	}
@@ -148,7 +148,7 @@
 	 * @param exchange takes the answer
 	 * @return whether it was handed to a link; if not, the exchange gets no call
 	 */
-	public boolean start(Lane lane, Run run, Exchange exchange) {
+	public boolean start(Lane lane, Run run, AttemptListener exchange) {
 		LaneState state = this.lanes.get(lane);
 		Link link = state.link;
 		if (link == null || this.leaving) {
@@ -173,7 +173,7 @@
 	 * @param key the request and its attempt
 	 */
 	private void lost(LaneState state, String key) {
-		Exchange exchange = state.exchanges.remove(key);
+		AttemptListener exchange = state.exchanges.remove(key);
 		if (exchange != null) {
 			exchange.lost();
 		}
@@ -245,7 +245,7 @@
 	 */
 	private static final class LaneState {
 
-		private final Map<String, Exchange> exchanges = new ConcurrentHashMap<>();
+		private final Map<String, AttemptListener> exchanges = new ConcurrentHashMap<>();
 
 		private volatile Link link;
 
@@ -288,7 +288,7 @@
 		}
 
 		private void output(Frame frame) {
-			Exchange exchange = this.state.exchanges
+			AttemptListener exchange = this.state.exchanges
 				.get(key(frame.getOutput().getRequest(), frame.getOutput().getAttempt()));
 			if (exchange != null) {
 				exchange.output(frame.getOutput());
@@ -303,7 +303,7 @@
 
 		private void done(Done done) {
 			load(done.getLoad());
-			Exchange exchange = this.state.exchanges.remove(key(done.getRequest(), done.getAttempt()));
+			AttemptListener exchange = this.state.exchanges.remove(key(done.getRequest(), done.getAttempt()));
 			if (exchange != null) {
 				exchange.done(done);
 			}
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/entry/PriorityTests.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/entry/PriorityTests.java
@@ -53,7 +53,7 @@
 	private SidecarProcess serve(int limit) {
 		SidecarProcess sidecar = this.fleet.sidecar("desk", this.upstream, limit, Duration.ofSeconds(20));
 		this.fleet.list("desk", sidecar.linkAddress());
-		TestFleet.await(() -> sidecar().takes(Lane.LANE_BATCH));
+		TestFleet.await(() -> sidecar().accepts(Lane.LANE_BATCH));
 		return sidecar;
 	}
 
@@ -205,7 +205,7 @@
 	/**
 	 * Takes what becomes of batch items.
 	 */
-	private static final class BatchExchange implements Exchange {
+	private static final class BatchExchange implements AttemptListener {
 
 		private final BlockingQueue<Done> dones = new LinkedBlockingQueue<>();
 
