--- a/modules/core/src/main/java/org/ragworthook/core/admission/AccountGate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/AccountGate.java
@@ -70,9 +70,9 @@
 		return Optional.empty();
 	}
 
-	// Compare-and-set instead of increment and undo: a request that is about to be
-	// refused would be counted for a moment and could make another one be refused
-	// although there is room for it.
+	// Uses compare-and-set, since with an increment that is undone above the limit, a
+	// request that is about to be refused would count for a moment, and another could
+	// be refused although there is room for it.
 	private boolean incrementInFlight(int limit) {
 		int current = this.inFlight.get();
 		while (limit <= 0 || current < limit) {
--- a/modules/core/src/main/java/org/ragworthook/core/admission/FairQueue.java
+++ b/modules/core/src/main/java/org/ragworthook/core/admission/FairQueue.java
@@ -17,9 +17,11 @@
  * served in proportion to its weight, and within an account the earliest deadline goes
  * first. Not thread-safe, except for {@link #requestEnded()}.
  * <p>
- * If the queue is full, an arrival may replace a waiting request: the one with the latest
- * deadline among the accounts whose backlog, relative to their weight, is at least that
- * of the arrival's account. So no account can crowd out others by sending more.
+ * If the queue is full, an arrival may displace a waiting request: the one with the
+ * latest deadline among the requests of its own account and of accounts whose backlog,
+ * relative to their weight, is at least as large. That request is shed if its deadline is
+ * later than the arrival's, or equal with a larger backlog of its account. So no account
+ * can crowd out others by sending more.
  *
  * @param <T> the type of the queued item
  */
@@ -39,7 +41,7 @@
 
 	private double virtualTime;
 
-	private long nextOrder;
+	private long nextSequence;
 
 	private int size;
 
@@ -98,7 +100,7 @@
 			return fresh;
 		});
 		account.weight = request.weight();
-		account.waiting.add(new Waiting<>(request, this.nextOrder++));
+		account.waiting.add(new Waiting<>(request, this.nextSequence++));
 		this.size++;
 	}
 
@@ -219,8 +221,8 @@
 		return this.completions.timeFor(this.size);
 	}
 
-	// Requests ahead of a new one: all of its own account, and of every other account
-	// as many as are served meanwhile by its weight.
+	// Estimates the wait from the requests that are served before a new one: all of its
+	// own account, and of each other account as many as its weight allows meanwhile.
 	private Duration expectedWait(int ownWaiting, int weight) {
 		double rounds = (ownWaiting + 1) / (double) weight;
 		double ahead = 0;
--- a/modules/core/src/main/java/org/ragworthook/core/lease/LeaseKeeper.java
+++ b/modules/core/src/main/java/org/ragworthook/core/lease/LeaseKeeper.java
@@ -200,25 +200,25 @@
 			.orElseGet(() -> this.writer.create(Lease.key(this.name), next.text(), this.labels));
 		return written.handle((stored, failure) -> {
 			if (failure == null) {
-				change((view) -> view.held(stored, next, sentNanos, validUntilNanos));
+				updateView((view) -> view.held(stored, next, sentNanos, validUntilNanos));
 				return CompletableFuture.completedFuture(true);
 			}
 			ErrorCode code = ConditionalWriter.codeOf(failure).orElse(ErrorCode.INTERNAL);
 			if (code == ErrorCode.STORE_CONFLICT) {
-				change((view) -> View.UNKNOWN);
+				updateView((view) -> View.UNKNOWN);
 				return CompletableFuture.completedFuture(false);
 			}
 			if (code == ErrorCode.STORE_OUTCOME_UNKNOWN) {
 				// If the write turns out to have succeeded, this holder acquires the
 				// lease again.
-				change((view) -> view.ownLease().isEmpty() ? View.UNKNOWN : view);
+				updateView((view) -> view.ownLease().isEmpty() ? View.UNKNOWN : view);
 			}
 			return CompletableFuture.<Boolean>failedFuture(failure);
 		}).thenCompose((settled) -> settled);
 	}
 
-	private void change(UnaryOperator<View> step) {
-		this.view.updateAndGet(step);
+	private void updateView(UnaryOperator<View> update) {
+		this.view.updateAndGet(update);
 	}
 
 	private <T> CompletableFuture<T> exclusively(Supplier<CompletableFuture<T>> step, Supplier<T> otherwise) {
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/Step.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/Step.java
@@ -35,7 +35,7 @@
 	}
 
 	/**
-	 * What a step does.
+	 * The kinds of steps.
 	 */
 	public enum Kind {
 
--- a/modules/core/src/main/java/org/ragworthook/core/reconcile/StepTracker.java
+++ b/modules/core/src/main/java/org/ragworthook/core/reconcile/StepTracker.java
@@ -13,10 +13,10 @@
 
 /**
  * Tracks a leader's steps: which are running, when loads started, and which failed.
- * Without a record of failures, the planner would retry the same hopeless load in every
- * round and use up the weight store's rate, while the model never comes up. A failed step
- * is therefore retried with exponential backoff, and a step that fails on several
- * upstreams backs off on all of them.
+ * Without a record of failures, the planner would retry the same failing load in every
+ * round and use up the load rate of the weight store, so that other models could not be
+ * loaded. A failed step is therefore retried with exponential backoff, and a step that
+ * fails on several upstreams backs off on all of them.
  */
 public final class StepTracker {
 
