--- a/modules/core/src/main/java/org/ragworthook/core/job/BatchItem.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/BatchItem.java
@@ -10,15 +10,17 @@
 import org.ragworthook.core.error.JobException;
 
 /**
- * One item of a job, from one line of its file. The line's keys are those of the OpenAI
- * batch API, {@code custom_id}, {@code method}, {@code url} and {@code body}, and
- * {@code idempotent}, which is {@code false} for an item that may run only once.
+ * One item of a batch job, parsed from one line of the job's input file. The line has the
+ * keys of the OpenAI batch API, {@code custom_id}, {@code method}, {@code url} and
+ * {@code body}, and the additional key {@code idempotent}, which is {@code false} for an
+ * item that must not run more than once.
  *
- * @param customId the account's own name of the item
- * @param url the path that it goes to
- * @param model the model that its body names, or the empty text
- * @param body its body, JSON text as it stood in the line
- * @param idempotent whether it may be run again when its outcome is not known
+ * @param customId the identifier that the account gave the item, unique within its file
+ * @param url the request path
+ * @param model the model named in the body, or the empty string
+ * @param body the request body, the JSON text as it stands in the line
+ * @param idempotent whether the item may be run again if the outcome of an attempt is
+ * unknown
  */
 public record BatchItem(String customId, String url, String model, String body, boolean idempotent) {
 
@@ -27,7 +29,7 @@
 	private static final int MAX_CUSTOM_ID = 256;
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public BatchItem {
 		Objects.requireNonNull(customId, "customId is null");
@@ -37,43 +39,43 @@
 	}
 
 	/**
-	 * Reads an item from its line.
-	 * @param number the number of the line in its file, from 1
+	 * Parses an item from a line of an input file.
+	 * @param number the line number, from 1
 	 * @param line the line
 	 * @return the item
-	 * @throws JobException if the line is broken; its message names the line
+	 * @throws JobException if the line is invalid; the message names the line number
 	 */
 	public static BatchItem parse(int number, String line) {
 		try (JsonParser parser = JSON.createParser(line)) {
 			return new Line(number, line).read(parser);
 		}
 		catch (IOException ex) {
-			throw broken(number, "is not well-formed JSON", ex);
+			throw invalidLine(number, "is not well-formed JSON", ex);
 		}
 	}
 
-	static JobException broken(int number, String what, Throwable cause) {
-		return new JobException(ErrorCode.JOB_BROKEN_LINE, "line " + number + " " + what, cause);
+	static JobException invalidLine(int number, String problem, Throwable cause) {
+		return new JobException(ErrorCode.JOB_BROKEN_LINE, "line " + number + " " + problem, cause);
 	}
 
 	/**
-	 * Returns this item as one that may run only once.
-	 * @return the item, marked
+	 * Returns a copy of this item that is not idempotent.
+	 * @return the copy
 	 */
-	public BatchItem once() {
+	public BatchItem asNonIdempotent() {
 		return new BatchItem(this.customId, this.url, this.model, this.body, false);
 	}
 
 	/**
-	 * Returns what room at the sidecars is counted by.
-	 * @return the model, or the path of an item that names none
+	 * Returns the route by which the free slots of sidecars are counted.
+	 * @return the model, or the URL path if the item names no model
 	 */
 	public String route() {
 		return this.model.isEmpty() ? this.url : this.model;
 	}
 
 	/**
-	 * Reads a line without building a tree of it.
+	 * Parses a line with a streaming parser, without building a tree.
 	 */
 	private static final class Line {
 
@@ -117,16 +119,16 @@
 		private void field(String name, JsonParser parser) throws IOException {
 			switch (name) {
 				case "custom_id":
-					this.customId = text(parser, name);
+					this.customId = stringValue(parser, name);
 					break;
 				case "method":
-					this.method = text(parser, name);
+					this.method = stringValue(parser, name);
 					break;
 				case "url":
-					this.url = text(parser, name);
+					this.url = stringValue(parser, name);
 					break;
 				case "idempotent":
-					this.idempotent = flag(parser, name);
+					this.idempotent = booleanValue(parser, name);
 					break;
 				case "body":
 					body(parser);
@@ -150,19 +152,19 @@
 			this.body = this.line.substring(from, (int) parser.currentTokenLocation().getCharOffset() + 1);
 		}
 
-		private String text(JsonParser parser, String name) throws IOException {
+		private String stringValue(JsonParser parser, String name) throws IOException {
 			require(parser.currentToken() == JsonToken.VALUE_STRING, "has a " + name + " that is not a text");
 			return parser.getText();
 		}
 
-		private boolean flag(JsonParser parser, String name) throws IOException {
+		private boolean booleanValue(JsonParser parser, String name) throws IOException {
 			require(parser.currentToken().isBoolean(), "has an " + name + " that is neither true nor false");
 			return parser.getBooleanValue();
 		}
 
-		private void require(boolean holds, String what) {
-			if (!holds) {
-				throw broken(this.number, what, null);
+		private void require(boolean condition, String problem) {
+			if (!condition) {
+				throw invalidLine(this.number, problem, null);
 			}
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkClaimer.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkClaimer.java
@@ -20,14 +20,15 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Claims chunks for an owner. The claim writes the owner's epoch into the chunk's result
- * record before any item is sent. An earlier owner that was paused holds the version
- * before it; its next write conflicts, so that of two owners only one can end an item. An
- * item that may run only once and was started by an earlier owner ends with the claim.
+ * Claims chunks for a shard owner. A claim writes the owner's epoch into the chunk's
+ * result record before any item is sent. A paused earlier owner holds an older version of
+ * the record, so its next write fails with a conflict and only one owner can record the
+ * end of an item. The claim also ends non-idempotent items that an earlier owner had
+ * started, with an unknown outcome.
  */
 final class ChunkClaimer {
 
-	private static final int TRIES = 4;
+	private static final int MAX_ATTEMPTS = 4;
 
 	private final ObjectStore store;
 
@@ -43,25 +44,25 @@
 
 	/**
 	 * Claims a chunk.
-	 * @param job its job
-	 * @param chunk its number
+	 * @param job the job
+	 * @param chunk the number of the chunk in the job, from 0
 	 * @param epoch the owner's epoch
-	 * @return the chunk as it stands; fails with {@code STORE_CONFLICT} if a later owner
-	 * has claimed it
+	 * @return the claimed chunk; fails with {@code STORE_CONFLICT} if an owner with a
+	 * higher epoch has claimed it
 	 */
 	CompletableFuture<Claimed> claim(JobRecord job, int chunk, long epoch) {
 		ObjectKey input = FileRecord.chunkKey(job.input(), chunk);
 		return this.store.read(input).thenCompose((found) -> {
 			Stored stored = found.orElseThrow(() -> new StoreException(ErrorCode.INTERNAL, input + " is missing"));
-			return claim(new Chunk(job.id(), chunk, items(stored.text())), epoch);
+			return claim(new Chunk(job.id(), chunk, parseItems(stored.text())), epoch);
 		});
 	}
 
-	private List<BatchItem> items(String text) {
+	private List<BatchItem> parseItems(String text) {
 		List<BatchItem> items = new ArrayList<>();
 		text.lines().forEach((line) -> {
 			BatchItem item = BatchItem.parse(items.size() + 1, line);
-			items.add(this.idempotent.test(item) ? item : item.once());
+			items.add(this.idempotent.test(item) ? item : item.asNonIdempotent());
 		});
 		return items;
 	}
@@ -74,13 +75,13 @@
 				if (failure == null) {
 					return CompletableFuture.completedFuture(claimed);
 				}
-				return StoreRetry.conflict(failure) ? takeOver(chunk, epoch, TRIES)
+				return StoreRetry.conflict(failure) ? takeOver(chunk, epoch, MAX_ATTEMPTS)
 						: CompletableFuture.<Claimed>failedFuture(failure);
 			})
 			.thenCompose((claimed) -> claimed);
 	}
 
-	private CompletableFuture<Claimed> takeOver(Chunk chunk, long epoch, int tries) {
+	private CompletableFuture<Claimed> takeOver(Chunk chunk, long epoch, int attemptsLeft) {
 		return this.store.read(chunk.key()).thenCompose((found) -> {
 			Stored stored = found.orElseThrow(() -> new StoreException(ErrorCode.STORE_CONFLICT, "record removed"));
 			ResultRecord record = ResultRecord.parse(stored.text());
@@ -88,54 +89,55 @@
 				throw new StoreException(ErrorCode.STORE_CONFLICT,
 						chunk.key() + " is claimed by epoch " + record.head().epoch());
 			}
-			return ended(record).thenCompose((ended) -> write(chunk, epoch, stored, record, ended, tries));
+			return readEnded(record).thenCompose((ended) -> write(chunk, epoch, stored, record, ended, attemptsLeft));
 		});
 	}
 
 	private CompletableFuture<Claimed> write(Chunk chunk, long epoch, Stored stored, ResultRecord record,
-			Set<Integer> ended, int tries) {
+			Set<Integer> ended, int attemptsLeft) {
 		if (record.complete()) {
 			return CompletableFuture.completedFuture(new Claimed(chunk.items(), stored, record, ended));
 		}
-		List<ItemResult> unknown = record.head()
+		List<ItemResult> outcomeUnknown = record.head()
 			.started()
 			.stream()
 			.filter((index) -> !ended.contains(index))
-			.map(chunk::unknown)
+			.map(chunk::outcomeUnknown)
 			.toList();
-		ResultRecord mine = record.with(record.head().by(epoch).with(List.of(), record.head().resumes())).with(unknown);
+		ResultRecord updated = record.with(record.head().withEpoch(epoch).withItems(List.of(), record.head().resumes()))
+			.with(outcomeUnknown);
 		Set<Integer> all = new HashSet<>(ended);
-		unknown.forEach((result) -> all.add(result.index()));
-		return this.writer.update(stored, mine.text())
-			.thenApply((written) -> new Claimed(chunk.items(), written, mine, all))
+		outcomeUnknown.forEach((result) -> all.add(result.index()));
+		return this.writer.update(stored, updated.text())
+			.thenApply((written) -> new Claimed(chunk.items(), written, updated, all))
 			.handle((claimed, failure) -> {
 				if (failure == null) {
 					return CompletableFuture.completedFuture(claimed);
 				}
-				return (StoreRetry.conflict(failure) && tries > 1) ? takeOver(chunk, epoch, tries - 1)
+				return (StoreRetry.conflict(failure) && attemptsLeft > 1) ? takeOver(chunk, epoch, attemptsLeft - 1)
 						: CompletableFuture.<Claimed>failedFuture(failure);
 			})
 			.thenCompose((claimed) -> claimed);
 	}
 
-	private CompletableFuture<Set<Integer>> ended(ResultRecord record) {
+	private CompletableFuture<Set<Integer>> readEnded(ResultRecord record) {
 		Set<Integer> ended = new LinkedHashSet<>();
 		record.results().forEach((result) -> ended.add(result.index()));
 		CompletableFuture<Void> read = CompletableFuture.completedFuture(null);
 		for (String part : record.head().parts()) {
-			read = read.thenCompose((before) -> part(this.store, part))
+			read = read.thenCompose((before) -> readPart(this.store, part))
 				.thenAccept((results) -> results.forEach((result) -> ended.add(result.index())));
 		}
 		return read.thenApply((done) -> ended);
 	}
 
 	/**
-	 * Reads the results that were moved to a part.
-	 * @param store where it is
-	 * @param name the part's name
-	 * @return its results
+	 * Reads the results that were moved to a part object.
+	 * @param store the object store
+	 * @param name the name of the part object
+	 * @return the results in it; fails with {@code INTERNAL} if the object is missing
 	 */
-	static CompletableFuture<List<ItemResult>> part(ObjectStore store, String name) {
+	static CompletableFuture<List<ItemResult>> readPart(ObjectStore store, String name) {
 		return store.read(ObjectKey.of(Kind.RESULT, name))
 			.thenApply((found) -> found.map(Stored::text)
 				.map(ResultRecord::parseLines)
@@ -148,25 +150,25 @@
 			return this.job.resultKey(this.number);
 		}
 
-		ItemResult unknown(int index) {
-			ItemId name = new ItemId(this.job, this.number, index, this.items.get(index).customId());
-			return ItemResult.without(name, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
+		ItemResult outcomeUnknown(int index) {
+			ItemId id = new ItemId(this.job, this.number, index, this.items.get(index).customId());
+			return ItemResult.unanswered(id, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
 					"the item was started by an owner that was lost");
 		}
 
 	}
 
 	/**
-	 * A chunk as its new owner finds it.
+	 * A claimed chunk.
 	 *
-	 * @param items its items
-	 * @param stored the result record as it is now
-	 * @param record the content of the result record
-	 * @param ended the items that have ended, by number
+	 * @param items the items of the chunk
+	 * @param stored the stored result record, with its current version
+	 * @param record the parsed result record
+	 * @param ended the indexes of the items that have ended
 	 */
 	record Claimed(List<BatchItem> items, Stored stored, ResultRecord record, Set<Integer> ended) {
 
-		Optional<JobCounts> finished() {
+		Optional<JobCounts> finalCounts() {
 			return this.record.complete() ? Optional.of(this.record.counts()) : Optional.empty();
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkDeletion.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkDeletion.java
@@ -6,21 +6,21 @@
 import org.ragworthook.core.store.ObjectStore;
 
 /**
- * Removes numbered objects one after another.
+ * Deletes chunks and other objects from the object store, one after another.
  */
 final class ChunkDeletion {
 
-	private static final int GAP = 4;
+	private static final int MAX_MISSING = 4;
 
 	private ChunkDeletion() {
 	}
 
 	/**
-	 * Removes the chunks of an upload.
-	 * @param store where they are
-	 * @param input the common part of their names
-	 * @param count how many there are
-	 * @return completes when they are gone
+	 * Deletes the chunks of an upload whose number of chunks is known.
+	 * @param store the object store
+	 * @param input the common name prefix of the chunks
+	 * @param count the number of chunks
+	 * @return completes when all chunks are deleted
 	 */
 	static CompletableFuture<Void> delete(ObjectStore store, String input, int count) {
 		CompletableFuture<Void> done = CompletableFuture.completedFuture(null);
@@ -32,19 +32,19 @@
 	}
 
 	/**
-	 * Removes the chunks of an upload of which nobody knows how far it came.
-	 * ChunkDeletion are stored a few at a time, so that only a few numbers in a row can
-	 * be missing before the last.
-	 * @param store where they are
-	 * @param input the common part of their names
-	 * @return completes when they are gone
+	 * Deletes the chunks of an upload whose number of chunks is unknown. Stops after a
+	 * few consecutive missing chunks: an upload has only a few chunk writes in flight, so
+	 * gaps below its last chunk are short.
+	 * @param store the object store
+	 * @param input the common name prefix of the chunks
+	 * @return completes when all chunks are deleted
 	 */
 	static CompletableFuture<Void> deleteAll(ObjectStore store, String input) {
 		return deleteFrom(store, input, 0, 0);
 	}
 
 	private static CompletableFuture<Void> deleteFrom(ObjectStore store, String input, int chunk, int missing) {
-		if (missing >= GAP) {
+		if (missing >= MAX_MISSING) {
 			return CompletableFuture.completedFuture(null);
 		}
 		return delete(store, FileRecord.chunkKey(input, chunk))
@@ -52,10 +52,10 @@
 	}
 
 	/**
-	 * Removes an object, whatever its version.
-	 * @param store where it is
-	 * @param key which object
-	 * @return whether it was there
+	 * Deletes an object, whatever its version.
+	 * @param store the object store
+	 * @param key the key of the object
+	 * @return whether the object existed
 	 */
 	static CompletableFuture<Boolean> delete(ObjectStore store, ObjectKey key) {
 		return store.read(key)
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkPacker.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkPacker.java
@@ -8,19 +8,20 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of bytes into lines and packs the lines into chunks that the platform
- * takes. A chunk is the lines as they were sent, so that the platform's limit is kept
- * also when it counts the escapes of JSON. Holds one chunk and one line.
+ * Splits a byte stream into lines and packs the lines into chunks that fit into one
+ * stored object. A chunk holds the lines as they were sent, and its size is counted with
+ * JSON escapes, so that it stays below the object store's limit also where that counts
+ * the escaped text. Holds one chunk and one line in memory.
  */
 final class ChunkPacker {
 
 	/** The most lines in a chunk. */
 	static final int MAX_ITEMS = 500;
 
-	/** The most bytes in a chunk, with the escapes of JSON. */
+	/** The largest size of a chunk, in bytes, counted with JSON escapes. */
 	static final int MAX_BYTES = 900_000;
 
-	private final LineValidator checks;
+	private final LineValidator validator;
 
 	private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
@@ -36,36 +37,36 @@
 
 	private int items;
 
-	ChunkPacker(LineValidator checks) {
-		this.checks = checks;
+	ChunkPacker(LineValidator validator) {
+		this.validator = validator;
 	}
 
 	/**
-	 * Takes a piece of the stream.
-	 * @param piece the next bytes, wherever they were cut
-	 * @param full takes each chunk that has become full
-	 * @throws org.ragworthook.core.error.JobException if a line is broken
+	 * Processes the next bytes of the stream.
+	 * @param data the next bytes; lines may be split at any byte
+	 * @param chunkSink called with each chunk that is full
+	 * @throws org.ragworthook.core.error.JobException if a line is invalid
 	 */
-	void take(byte[] piece, Consumer<String> full) {
+	void write(byte[] data, Consumer<String> chunkSink) {
 		int from = 0;
-		for (int position = 0; position < piece.length; position++) {
-			if (piece[position] == '\n') {
-				append(piece, from, position);
-				endLine().ifPresent(full);
+		for (int position = 0; position < data.length; position++) {
+			if (data[position] == '\n') {
+				append(data, from, position);
+				endLine().ifPresent(chunkSink);
 				from = position + 1;
 			}
 		}
-		append(piece, from, piece.length);
+		append(data, from, data.length);
 	}
 
-	private void append(byte[] piece, int from, int to) {
+	private void append(byte[] data, int from, int to) {
 		for (int position = from; position < to; position++) {
-			this.lineBytes += ResultRecord.escapedBytes(piece[position]);
+			this.lineBytes += ResultRecord.escapedBytes(data[position]);
 		}
 		if (this.lineBytes > MAX_BYTES) {
-			throw BatchItem.broken(this.lines + 1, "is longer than " + MAX_BYTES + " bytes", null);
+			throw BatchItem.invalidLine(this.lines + 1, "is longer than " + MAX_BYTES + " bytes", null);
 		}
-		this.line.write(piece, from, to - from);
+		this.line.write(data, from, to - from);
 	}
 
 	private Optional<String> endLine() {
@@ -77,10 +78,10 @@
 		if (text.isBlank()) {
 			return Optional.empty();
 		}
-		this.checks.check(this.lines, text);
+		this.validator.validate(this.lines, text);
 		this.items++;
 		boolean full = this.chunkItems >= MAX_ITEMS || this.chunkBytes + bytes > MAX_BYTES;
-		Optional<String> ready = full ? last() : Optional.empty();
+		Optional<String> ready = full ? flush() : Optional.empty();
 		this.chunk.append((this.chunkItems > 0) ? "\n" : "").append(text);
 		this.chunkBytes += bytes;
 		this.chunkItems++;
@@ -95,24 +96,24 @@
 				.stripTrailing();
 		}
 		catch (CharacterCodingException ex) {
-			throw BatchItem.broken(this.lines, "is not UTF-8", ex);
+			throw BatchItem.invalidLine(this.lines, "is not UTF-8", ex);
 		}
 	}
 
 	/**
-	 * Ends the stream.
-	 * @return a chunk that became full with the last line, or empty; {@link #last()} has
+	 * Processes the last line, which may have no line end.
+	 * @return a chunk that the last line completed, or empty; {@link #flush()} returns
 	 * the rest
 	 */
-	Optional<String> end() {
+	Optional<String> endStream() {
 		return (this.line.size() > 0) ? endLine() : Optional.empty();
 	}
 
 	/**
-	 * Returns the lines that are in no chunk yet and begins a new chunk.
+	 * Returns the lines that are in no chunk yet, as the last chunk.
 	 * @return the chunk, or empty if there are no lines left
 	 */
-	Optional<String> last() {
+	Optional<String> flush() {
 		if (this.chunkItems == 0) {
 			return Optional.empty();
 		}
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkRun.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkRun.java
@@ -17,11 +17,12 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * The items of a chunk while an owner runs them. Used by one thread at a time.
+ * The run state of a chunk's items at the shard owner, and the results that are not yet
+ * written. Not thread-safe: used on the owner's serial executor.
  */
 final class ChunkRun {
 
-	private static final int MAX_RESUMES = 200_000;
+	private static final int MAX_RESUME_CHARS = 200_000;
 
 	private final JobRun job;
 
@@ -31,15 +32,15 @@
 
 	private final State[] states;
 
-	private final int[] sent;
+	private final int[] attempts;
 
 	private final int[] failures;
 
-	private final int[] crashesAlone;
+	private final int[] isolatedCrashes;
 
 	private final Set<Integer> suspects = new LinkedHashSet<>();
 
-	private final Map<Integer, ResumePoint> resumes = new HashMap<>();
+	private final Map<Integer, ResumePoint> resumePoints = new HashMap<>();
 
 	private final Map<String, Deque<Integer>> ready = new LinkedHashMap<>();
 
@@ -47,21 +48,21 @@
 
 	private final List<Integer> starting = new ArrayList<>();
 
-	private final List<ItemResult> fresh = new ArrayList<>();
+	private final List<ItemResult> unwritten = new ArrayList<>();
 
 	private Stored stored;
 
 	private ResultRecord written;
 
-	private int left;
+	private int remaining;
 
 	private int running;
 
-	private Pending pending;
+	private PendingWrite pending;
 
 	private boolean writing;
 
-	private boolean timed;
+	private boolean writeScheduled;
 
 	private boolean closed;
 
@@ -70,17 +71,17 @@
 		this.number = number;
 		this.items = claimed.items().toArray(BatchItem[]::new);
 		this.states = new State[this.items.length];
-		this.sent = new int[this.items.length];
+		this.attempts = new int[this.items.length];
 		this.failures = new int[this.items.length];
-		this.crashesAlone = new int[this.items.length];
+		this.isolatedCrashes = new int[this.items.length];
 		this.stored = claimed.stored();
 		this.written = claimed.record();
 		Arrays.fill(this.states, State.WAITING);
 		claimed.ended().forEach((index) -> this.states[index] = State.ENDED);
-		this.written.head().resumes().forEach((resume) -> this.resumes.put(resume.index(), resume));
-		this.left = this.items.length - claimed.ended().size();
+		this.written.head().resumes().forEach((resume) -> this.resumePoints.put(resume.index(), resume));
+		this.remaining = this.items.length - claimed.ended().size();
 		for (int index = 0; index < this.items.length; index++) {
-			makeReady(index, false);
+			enqueue(index, false);
 		}
 	}
 
@@ -98,17 +99,17 @@
 		return this.items[index];
 	}
 
-	ItemId name(int index) {
+	ItemId itemId(int index) {
 		return new ItemId(this.job.id(), this.number, index, this.items[index].customId());
 	}
 
-	void makeReady(int index, boolean first) {
+	void enqueue(int index, boolean atFront) {
 		if (this.states[index] != State.WAITING && this.states[index] != State.RUNNING) {
 			return;
 		}
 		this.states[index] = State.READY;
 		Deque<Integer> queue = this.ready.computeIfAbsent(this.items[index].route(), (route) -> new ArrayDeque<>());
-		if (first) {
+		if (atFront) {
 			queue.addFirst(index);
 		}
 		else {
@@ -116,10 +117,10 @@
 		}
 	}
 
-	boolean hasReady(ToIntFunction<String> room) {
+	boolean hasReady(ToIntFunction<String> freeSlots) {
 		return this.ready.entrySet()
 			.stream()
-			.anyMatch((entry) -> !entry.getValue().isEmpty() && room.applyAsInt(entry.getKey()) > 0);
+			.anyMatch((entry) -> !entry.getValue().isEmpty() && freeSlots.applyAsInt(entry.getKey()) > 0);
 	}
 
 	int readyCount() {
@@ -130,9 +131,9 @@
 		return this.ready.keySet();
 	}
 
-	OptionalInt nextReady(ToIntFunction<String> room) {
+	OptionalInt pollReady(ToIntFunction<String> freeSlots) {
 		for (Map.Entry<String, Deque<Integer>> entry : this.ready.entrySet()) {
-			if (!entry.getValue().isEmpty() && room.applyAsInt(entry.getKey()) > 0) {
+			if (!entry.getValue().isEmpty() && freeSlots.applyAsInt(entry.getKey()) > 0) {
 				int index = entry.getValue().poll();
 				this.states[index] = State.WAITING;
 				return OptionalInt.of(index);
@@ -141,20 +142,21 @@
 		return OptionalInt.empty();
 	}
 
-	int nowRunning(int index) {
+	int markRunning(int index) {
 		this.states[index] = State.RUNNING;
 		this.running++;
-		return ++this.sent[index];
+		return ++this.attempts[index];
 	}
 
 	/**
-	 * Takes note that an attempt is over.
-	 * @param index the item
-	 * @param attempt the attempt's number
-	 * @return whether it was still waited for
+	 * Called when an attempt has ended. Ignores attempts of a closed chunk, of an ended
+	 * item, and all but the latest attempt.
+	 * @param index the index of the item in the chunk
+	 * @param attempt the number of the attempt, from 1
+	 * @return whether the outcome of the attempt is to be handled
 	 */
-	boolean returned(int index, int attempt) {
-		if (this.closed || this.states[index] != State.RUNNING || this.sent[index] != attempt) {
+	boolean attemptEnded(int index, int attempt) {
+		if (this.closed || this.states[index] != State.RUNNING || this.attempts[index] != attempt) {
 			return false;
 		}
 		this.states[index] = State.WAITING;
@@ -162,28 +164,28 @@
 		return true;
 	}
 
-	int failed(int index) {
+	int recordFailure(int index) {
 		return ++this.failures[index];
 	}
 
-	void suspect(int index) {
+	void markSuspect(int index) {
 		this.suspects.add(index);
 	}
 
-	boolean suspected(int index) {
+	boolean isSuspect(int index) {
 		return this.suspects.contains(index);
 	}
 
-	int crashedAlone(int index) {
-		return ++this.crashesAlone[index];
+	int recordIsolatedCrash(int index) {
+		return ++this.isolatedCrashes[index];
 	}
 
-	void resumeFrom(ResumePoint resume) {
-		this.resumes.put(resume.index(), resume);
+	void saveResumePoint(ResumePoint resume) {
+		this.resumePoints.put(resume.index(), resume);
 	}
 
-	Optional<ResumePoint> resume(int index) {
-		return Optional.ofNullable(this.resumes.get(index));
+	Optional<ResumePoint> resumePoint(int index) {
+		return Optional.ofNullable(this.resumePoints.get(index));
 	}
 
 	void end(ItemResult result) {
@@ -196,23 +198,24 @@
 		}
 		this.states[index] = State.ENDED;
 		this.items[index] = null;
-		this.resumes.remove(index);
-		this.fresh.add(result);
-		this.left--;
+		this.resumePoints.remove(index);
+		this.unwritten.add(result);
+		this.remaining--;
 	}
 
-	List<Integer> open(boolean alsoRunning) {
+	List<Integer> unfinished(boolean includeRunning) {
 		List<Integer> open = new ArrayList<>();
 		for (int index = 0; index < this.states.length; index++) {
 			boolean runs = this.states[index] == State.RUNNING;
-			if (this.states[index] != State.ENDED && this.states[index] != State.STARTING && (alsoRunning || !runs)) {
+			if (this.states[index] != State.ENDED && this.states[index] != State.STARTING
+					&& (includeRunning || !runs)) {
 				open.add(index);
 			}
 		}
 		return open;
 	}
 
-	boolean runsOnce() {
+	boolean hasRunningNonIdempotent() {
 		for (int index = 0; index < this.states.length; index++) {
 			if (this.states[index] == State.RUNNING && !this.items[index].idempotent()) {
 				return true;
@@ -229,46 +232,46 @@
 		return this.running;
 	}
 
-	int left() {
-		return this.left;
+	int remaining() {
+		return this.remaining;
 	}
 
-	// -- items that may run only once
+	// -- non-idempotent items
 
-	void toStart(int index) {
+	void markStarting(int index) {
 		this.states[index] = State.STARTING;
 		this.starting.add(index);
 	}
 
-	boolean isStarted(int index) {
+	boolean startRecorded(int index) {
 		return this.started.contains(index);
 	}
 
-	int startingOn(String route) {
+	int startingCount(String route) {
 		return (int) this.starting.stream().filter((index) -> this.items[index].route().equals(route)).count();
 	}
 
-	// -- record
+	// -- result record
 
 	boolean busy() {
-		return this.writing || this.running > 0 || !this.starting.isEmpty() || !this.fresh.isEmpty();
+		return this.writing || this.running > 0 || !this.starting.isEmpty() || !this.unwritten.isEmpty();
 	}
 
-	boolean dirty() {
-		return !this.fresh.isEmpty() || !this.starting.isEmpty();
+	boolean hasUnwritten() {
+		return !this.unwritten.isEmpty() || !this.starting.isEmpty();
 	}
 
-	boolean settled() {
-		return this.left == 0 && !dirty() && !this.writing;
+	boolean complete() {
+		return this.remaining == 0 && !hasUnwritten() && !this.writing;
 	}
 
-	int freshCount() {
-		return this.fresh.size();
+	int unwrittenCount() {
+		return this.unwritten.size();
 	}
 
-	boolean mustWrite(int checkpoints) {
-		return !this.starting.isEmpty() || (dirty() && this.left == 0)
-				|| this.fresh.size() >= Math.max(1, this.items.length / checkpoints);
+	boolean writeDue(int checkpoints) {
+		return !this.starting.isEmpty() || (hasUnwritten() && this.remaining == 0)
+				|| this.unwritten.size() >= Math.max(1, this.items.length / checkpoints);
 	}
 
 	Stored stored() {
@@ -283,12 +286,12 @@
 		return this.writing;
 	}
 
-	boolean timed() {
-		return this.timed;
+	boolean writeScheduled() {
+		return this.writeScheduled;
 	}
 
-	void timed(boolean set) {
-		this.timed = set;
+	void writeScheduled(boolean set) {
+		this.writeScheduled = set;
 	}
 
 	boolean closed() {
@@ -300,35 +303,38 @@
 	}
 
 	/**
-	 * Begins a write of what has come since the last one. After one that failed it is the
-	 * same again: the failed one may have taken effect, and is known by its text.
+	 * Starts a write of all unwritten results and starts. After a failed write it returns
+	 * the same content again: the failed write may have taken effect, and is then
+	 * recognised by its text.
 	 * @param epoch the owner's epoch
-	 * @return what to write
+	 * @return the record to write
 	 */
-	Pending begin(long epoch) {
+	PendingWrite beginWrite(long epoch) {
 		this.writing = true;
 		if (this.pending == null) {
-			this.pending = next(epoch);
+			this.pending = nextWrite(epoch);
 		}
 		return this.pending;
 	}
 
-	private Pending next(long epoch) {
-		List<ItemResult> results = List.copyOf(this.fresh);
+	private PendingWrite nextWrite(long epoch) {
+		List<ItemResult> results = List.copyOf(this.unwritten);
 		List<Integer> starts = List.copyOf(this.starting);
 		Set<Integer> open = new LinkedHashSet<>(this.started);
 		open.addAll(starts);
 		open.removeIf((index) -> this.states[index] == State.ENDED);
-		ResultRecord.Head head = this.written.head().by(epoch).with(List.copyOf(open), resumesWithinBound());
-		return new Pending(this.written.with(head).with(results), results.size(), starts);
+		ResultRecord.Head head = this.written.head()
+			.withEpoch(epoch)
+			.withItems(List.copyOf(open), boundedResumePoints());
+		return new PendingWrite(this.written.with(head).with(results), results.size(), starts);
 	}
 
-	private List<ResumePoint> resumesWithinBound() {
+	private List<ResumePoint> boundedResumePoints() {
 		List<ResumePoint> kept = new ArrayList<>();
 		int length = 0;
-		for (ResumePoint resume : this.resumes.values()) {
+		for (ResumePoint resume : this.resumePoints.values()) {
 			length += resume.text().length();
-			if (length <= MAX_RESUMES) {
+			if (length <= MAX_RESUME_CHARS) {
 				kept.add(resume);
 			}
 		}
@@ -336,36 +342,36 @@
 	}
 
 	/**
-	 * Takes note that a write took effect.
-	 * @param pending what was written
-	 * @param object the object as it is now
-	 * @param record its content
-	 * @return the items that are recorded as started by it
+	 * Called when a write has taken effect.
+	 * @param pending the write
+	 * @param object the stored object, with its new version
+	 * @param record the content of the object
+	 * @return the indexes of the items whose start was recorded by this write
 	 */
-	List<Integer> wrote(Pending pending, Stored object, ResultRecord record) {
+	List<Integer> writeSucceeded(PendingWrite pending, Stored object, ResultRecord record) {
 		this.writing = false;
 		this.pending = null;
 		this.stored = object;
 		this.written = record;
-		this.fresh.subList(0, pending.results()).clear();
+		this.unwritten.subList(0, pending.resultCount()).clear();
 		this.starting.removeAll(pending.starts());
 		this.started.addAll(pending.starts());
 		pending.starts().forEach((index) -> this.states[index] = State.WAITING);
 		return pending.starts();
 	}
 
-	void notWritten() {
+	void writeFailed() {
 		this.writing = false;
 	}
 
 	/**
-	 * A write under way.
+	 * A write in progress.
 	 *
-	 * @param record what is written
-	 * @param results how many results are in it for the first time
-	 * @param starts the items that are recorded as started by it
+	 * @param record the content to write
+	 * @param resultCount how many of its results have not been written before
+	 * @param starts the indexes of the items whose start it records
 	 */
-	record Pending(ResultRecord record, int results, List<Integer> starts) {
+	record PendingWrite(ResultRecord record, int resultCount, List<Integer> starts) {
 	}
 
 	private enum State {
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkSet.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkSet.java
@@ -8,11 +8,12 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * A set of numbers of chunks, small enough for a job's record: a bit for each chunk.
+ * An immutable set of chunk numbers, stored compactly in a job's record as one bit for
+ * each chunk.
  */
 public final class ChunkSet {
 
-	/** The set without chunks. */
+	/** The empty set. */
 	public static final ChunkSet EMPTY = new ChunkSet(new BitSet());
 
 	private final BitSet bits;
@@ -22,8 +23,8 @@
 	}
 
 	/**
-	 * Reads a set from a record.
-	 * @param text as {@link #text()} returns it
+	 * Parses a set from its stored form.
+	 * @param text the form that {@link #text()} returns
 	 * @return the set
 	 */
 	@JsonCreator
@@ -32,7 +33,7 @@
 	}
 
 	/**
-	 * Returns the set as kept in a record.
+	 * Returns the stored form of this set.
 	 * @return the bits in Base64
 	 */
 	@JsonValue
@@ -41,8 +42,8 @@
 	}
 
 	/**
-	 * Returns this set and one more chunk.
-	 * @param chunk the chunk's number
+	 * Returns a copy of this set with one more chunk.
+	 * @param chunk the number of the chunk
 	 * @return the larger set
 	 */
 	public ChunkSet with(int chunk) {
@@ -52,26 +53,26 @@
 	}
 
 	/**
-	 * Tells whether a chunk is in the set.
-	 * @param chunk the chunk's number
-	 * @return whether it is
+	 * Returns whether a chunk is in this set.
+	 * @param chunk the number of the chunk
+	 * @return whether the set contains it
 	 */
 	public boolean contains(int chunk) {
 		return this.bits.get(chunk);
 	}
 
 	/**
-	 * Returns how many chunks are in the set.
-	 * @return the count
+	 * Returns the number of chunks in this set.
+	 * @return the number of chunks
 	 */
 	public int size() {
 		return this.bits.cardinality();
 	}
 
 	/**
-	 * Returns the first chunk that is not in the set.
-	 * @param from where to start to look
-	 * @return the chunk's number
+	 * Returns the lowest chunk number that is not in this set.
+	 * @param from the number to start the search from, inclusive
+	 * @return the number of the chunk
 	 */
 	public int firstAbsent(int from) {
 		return this.bits.nextClearBit(from);
--- a/modules/core/src/main/java/org/ragworthook/core/job/ChunkWriter.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ChunkWriter.java
@@ -15,8 +15,8 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Writes the result record of a chunk. Results that make it too large move to parts,
- * which are stored before the record names them.
+ * Writes the result record of a chunk. Results that would make the record too large are
+ * moved to part objects, which are stored before the record names them.
  */
 final class ChunkWriter {
 
@@ -30,15 +30,15 @@
 	}
 
 	/**
-	 * Writes a record.
-	 * @param chunk which chunk
+	 * Writes a result record.
+	 * @param chunk the chunk
 	 * @param record the new content
-	 * @return what was written; fails with {@code STORE_CONFLICT} if another owner has
+	 * @return the written record; fails with {@code STORE_CONFLICT} if another owner has
 	 * claimed the chunk
 	 */
 	CompletableFuture<Written> write(ChunkRun chunk, ResultRecord record) {
 		String text = record.text();
-		if (ResultRecord.bytes(text) <= ResultRecord.MAX_BYTES) {
+		if (ResultRecord.escapedLength(text) <= ResultRecord.MAX_BYTES) {
 			return update(chunk.stored(), record, text);
 		}
 		List<List<ItemResult>> groups = grouped(record.results());
@@ -55,7 +55,7 @@
 		List<ItemResult> group = new ArrayList<>();
 		int bytes = 0;
 		for (ItemResult result : results) {
-			int more = ResultRecord.bytes(result.text()) + 2;
+			int more = ResultRecord.escapedLength(result.text()) + 2;
 			if (!group.isEmpty() && bytes + more > ResultRecord.MAX_BYTES) {
 				groups.add(group);
 				group = new ArrayList<>();
@@ -68,8 +68,9 @@
 		return groups;
 	}
 
-	// Two owners may move results of the same chunk at once. The epoch in the name keeps
-	// their parts apart; that of the loser is never named.
+	// Two owners may move results of the same chunk at once. The epoch in the part's
+	// name keeps their parts apart; no record ever names the part of the owner whose
+	// write lost.
 	private CompletableFuture<ResultRecord> move(ChunkRun chunk, ResultRecord record, List<ItemResult> group) {
 		String part = chunk.stored().key().name() + "." + record.head().epoch() + "." + record.head().parts().size();
 		String lines = ResultRecord.lines(group);
@@ -84,7 +85,8 @@
 		}).thenCompose((settled) -> settled);
 	}
 
-	// A part of this owner's own, from a write that did not get as far as the head.
+	// Overwrites a part of this same owner, left by an earlier write whose record update
+	// did not complete.
 	private CompletableFuture<Stored> replace(ObjectKey key, String lines) {
 		return this.store.read(key).thenCompose((found) -> this.writer.update(found.orElseThrow(), lines));
 	}
@@ -96,12 +98,13 @@
 			}
 			Optional<ErrorCode> code = ConditionalWriter.codeOf(failure);
 			return (code.filter((known) -> known == ErrorCode.STORE_CONFLICT).isPresent())
-					? settle(last, record, text, failure) : CompletableFuture.<Written>failedFuture(failure);
+					? confirmWrite(last, record, text, failure) : CompletableFuture.<Written>failedFuture(failure);
 		}).thenCompose((settled) -> settled);
 	}
 
-	// A write whose outcome stayed unknown is tried again later and may then meet itself.
-	private CompletableFuture<Written> settle(Stored last, ResultRecord record, String text, Throwable failure) {
+	// After a write with an unknown outcome, the retry conflicts with the first write if
+	// that one took effect. Equal text in the store counts as success.
+	private CompletableFuture<Written> confirmWrite(Stored last, ResultRecord record, String text, Throwable failure) {
 		return this.store.read(last.key()).thenCompose((found) -> {
 			Optional<Stored> own = found.filter((stored) -> stored.text().equals(text));
 			return own.map((stored) -> CompletableFuture.completedFuture(new Written(stored, record)))
@@ -110,10 +113,10 @@
 	}
 
 	/**
-	 * A record as it was written.
+	 * A written result record.
 	 *
-	 * @param stored the object
-	 * @param record its content
+	 * @param stored the stored object, with its new version
+	 * @param record the content of the object
 	 */
 	record Written(Stored stored, ResultRecord record) {
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/Digests.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/Digests.java
@@ -7,7 +7,7 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * Names that follow from content.
+ * Derives object names and shard numbers from content hashes.
  */
 final class Digests {
 
@@ -18,9 +18,8 @@
 	private Digests() {
 	}
 
-	// Each part is preceded by its length: without it, two accounts could choose names
-	// and
-	// keys that run together to the same text, and one would find the other's job.
+	// Each part is preceded by its length. Otherwise two accounts could choose names and
+	// keys with the same concatenation, and one would read the job of the other.
 	static String name(String... parts) {
 		MessageDigest digest = DigestUtils.getSha256Digest();
 		for (String part : parts) {
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileId.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/FileId.java
@@ -9,18 +9,18 @@
 import org.ragworthook.core.store.ObjectKey;
 
 /**
- * Names a file: one that was uploaded, or the output or the errors of a job, which are
- * read from the job's result records.
+ * The identifier of a file: an uploaded file, or the output or error file of a job. The
+ * latter are not stored as files but read from the job's result records.
  *
- * @param hex 32 hexadecimal digits, of an upload its own, else those of the job
- * @param content what is in the file
+ * @param hex 32 hexadecimal digits: of the upload itself, or of the job
+ * @param content the kind of file
  */
 public record FileId(String hex, Content content) {
 
 	private static final Pattern ID = Pattern.compile("file-([0-9a-f]{32})(-output|-error)?");
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public FileId {
 		Objects.requireNonNull(hex, "hex is null");
@@ -28,37 +28,37 @@
 	}
 
 	/**
-	 * Returns the name of an upload.
-	 * @param account the account that sends it
-	 * @param key the account's idempotency key, or a random text if it gave none
-	 * @return the name
+	 * Returns the identifier of an uploaded file.
+	 * @param account the account that uploads the file
+	 * @param key the account's idempotency key, or a random text if it sent none
+	 * @return the identifier
 	 */
 	public static FileId of(String account, String key) {
 		return new FileId(Digests.name("file", account, key), Content.UPLOAD);
 	}
 
 	/**
-	 * Returns the name of a job's output.
+	 * Returns the identifier of a job's output file.
 	 * @param job the job
-	 * @return the name
+	 * @return the identifier
 	 */
 	public static FileId outputOf(JobId job) {
 		return new FileId(job.hex(), Content.OUTPUT);
 	}
 
 	/**
-	 * Returns the name of a job's errors.
+	 * Returns the identifier of a job's error file.
 	 * @param job the job
-	 * @return the name
+	 * @return the identifier
 	 */
 	public static FileId errorsOf(JobId job) {
 		return new FileId(job.hex(), Content.ERRORS);
 	}
 
 	/**
-	 * Reads a name as callers see it.
-	 * @param id such as {@code file-0123...}
-	 * @return the name, or empty if it cannot be one
+	 * Parses an identifier from its external form.
+	 * @param id the external form, such as {@code file-0123...}
+	 * @return the identifier, or empty if the text is not a valid one
 	 */
 	public static Optional<FileId> parse(String id) {
 		Matcher matcher = ID.matcher(id);
@@ -69,24 +69,24 @@
 	}
 
 	/**
-	 * Returns the name as callers see it.
-	 * @return such as {@code file-0123...}
+	 * Returns the external form of this identifier.
+	 * @return the external form, such as {@code file-0123...}
 	 */
 	public String id() {
 		return "file-" + this.hex + this.content.suffix;
 	}
 
 	/**
-	 * Returns the job whose results are in the file.
-	 * @return the job, or empty for an upload
+	 * Returns the job whose results the file contains.
+	 * @return the job, or empty for an uploaded file
 	 */
 	public Optional<JobId> job() {
 		return (this.content != Content.UPLOAD) ? Optional.of(new JobId(this.hex)) : Optional.empty();
 	}
 
 	/**
-	 * Returns the key of an upload's record.
-	 * @return the key
+	 * Returns the key of the record of an uploaded file.
+	 * @return the key in the object store
 	 */
 	public ObjectKey key() {
 		return ObjectKey.of(Kind.FILE, this.hex);
@@ -98,17 +98,17 @@
 	}
 
 	/**
-	 * What is in a file.
+	 * The kinds of file.
 	 */
 	public enum Content {
 
-		/** Lines that an account has sent. */
+		/** Lines that an account has uploaded. */
 		UPLOAD(""),
 
-		/** The items of a job that were answered. */
+		/** The results of a job's items that completed. */
 		OUTPUT("-output"),
 
-		/** The items of a job that ended otherwise. */
+		/** The results of a job's items that ended in any other way. */
 		ERRORS("-error");
 
 		private final String suffix;
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileIntake.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/FileIntake.java
@@ -17,9 +17,10 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Takes in files. The record is written first, then the chunks, then the record again;
- * only that last conditional write makes the file appear. An entry that dies before
- * leaves a record from which the chunks are found and collected.
+ * Accepts file uploads. An upload first creates the file's record, then stores the
+ * chunks, then updates the record; the file becomes visible by that last conditional
+ * write. An entry that crashes before leaves a record from which the chunks are found and
+ * garbage-collected.
  */
 public final class FileIntake {
 
@@ -37,9 +38,10 @@
 
 	/**
 	 * Returns a builder.
-	 * @param store where files are kept
-	 * @param stamps marks each write; its writer's name also keeps uploads apart
-	 * @param timers wait between two tries
+	 * @param store the object store
+	 * @param stamps identifies each write; also makes the chunk names of each upload
+	 * unique
+	 * @param timers schedules retries
 	 * @param clock the time of day
 	 * @return the builder
 	 */
@@ -48,34 +50,36 @@
 	}
 
 	/**
-	 * Begins an upload.
-	 * @param spec what the account says about it
-	 * @return the upload, to which pieces are handed
+	 * Starts an upload. An upload that was started before under the same idempotency key
+	 * and did not complete is restarted.
+	 * @param spec the description of the file
+	 * @return the upload, to which the content is written; fails with {@code
+	 * FILE_NOT_STORED} if the record cannot be written
 	 */
 	public CompletableFuture<Upload> begin(FileSpec spec) {
 		String input = Digests.name("input", this.builder.stamps.next());
 		FileId id = FileId.of(spec.account(), spec.idempotencyKey().map((key) -> "key:" + key).orElse("try:" + input));
 		long now = this.builder.clock.millis();
-		FileRecord record = FileRecord.begun(id, spec, input, now, now + this.builder.retention.toMillis());
+		FileRecord record = FileRecord.uploading(id, spec, input, now, now + this.builder.retention.toMillis());
 		return this.retry.call(() -> this.writer.create(id.key(), record.text(), record.labels(this.builder.shards)))
 			.handle((stored, failure) -> {
 				if (failure == null) {
 					return CompletableFuture.completedFuture(new Upload(this, stored, record));
 				}
-				return StoreRetry.undecided(failure) ? beginAgain(id, input)
+				return StoreRetry.conflictOrUnknown(failure) ? restart(id, input)
 						: CompletableFuture.<Upload>failedFuture(refused(failure));
 			})
 			.thenCompose((upload) -> upload);
 	}
 
-	private CompletableFuture<Upload> beginAgain(FileId id, String input) {
+	private CompletableFuture<Upload> restart(FileId id, String input) {
 		return this.retry.call(() -> this.builder.store.read(id.key())).thenCompose((found) -> {
 			Stored stored = found.orElseThrow(() -> refused(null));
 			FileRecord record = FileRecord.parse(stored.text());
 			if (record.ready()) {
 				return CompletableFuture.completedFuture(new Upload(this, stored, record));
 			}
-			FileRecord next = record.begunAgain(input);
+			FileRecord next = record.restarted(input);
 			return this.writer.update(stored, next.text()).thenApply((written) -> new Upload(this, written, next));
 		}).exceptionally((failure) -> {
 			throw refused(failure);
@@ -84,9 +88,10 @@
 
 	/**
 	 * Reads the record of a file.
-	 * @param account who asks
+	 * @param account the account that asks
 	 * @param id the file
-	 * @return the record, or empty if there is no such file or another account owns it
+	 * @return the record, or empty if the file does not exist, is not completely stored
+	 * or belongs to another account
 	 */
 	public CompletableFuture<Optional<FileRecord>> file(String account, FileId id) {
 		return this.builder.store.read(id.key())
@@ -115,7 +120,7 @@
 	}
 
 	/**
-	 * Builds an intake.
+	 * Builds a file intake.
 	 */
 	public static final class Builder {
 
@@ -141,8 +146,9 @@
 		}
 
 		/**
-		 * Sets a rule for each line.
-		 * @param itemValidator returns what is wrong with an item, or the empty text
+		 * Sets the check that is applied to each item.
+		 * @param itemValidator returns the description of what is wrong with an item, or
+		 * the empty string; accepts every item if not set
 		 * @return this builder
 		 */
 		public Builder itemValidator(Function<BatchItem, String> itemValidator) {
@@ -152,7 +158,7 @@
 
 		/**
 		 * Sets how long files are kept.
-		 * @param retention counted from the upload, 30 days if not set
+		 * @param retention the time from the start of the upload, 30 days if not set
 		 * @return this builder
 		 */
 		public Builder retention(Duration retention) {
@@ -161,8 +167,8 @@
 		}
 
 		/**
-		 * Sets over how many shards files and jobs are spread.
-		 * @param shards the same at all entries
+		 * Sets the number of shards.
+		 * @param shards the number of shards, the same at all entries; 1 if not set
 		 * @return this builder
 		 */
 		public Builder shards(int shards) {
@@ -171,8 +177,8 @@
 		}
 
 		/**
-		 * Builds the intake.
-		 * @return the intake
+		 * Builds the file intake.
+		 * @return the file intake
 		 */
 		public FileIntake build() {
 			return new FileIntake(this);
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileRecord.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/FileRecord.java
@@ -9,33 +9,34 @@
 import org.ragworthook.core.store.ObjectKey;
 
 /**
- * An uploaded file, as recorded at the platform. It is written before the first chunk, so
- * that the chunks of an upload that broke off can be found, and again once all chunks are
- * stored. JSON keys: the components in snake case.
+ * The stored record of an uploaded file. It is written before the first chunk, so that
+ * the chunks of an interrupted upload can be found, and again when all chunks are stored.
+ * The JSON keys are the component names in snake case.
  *
- * @param hex the file's name
- * @param account the account that owns it
- * @param state whether all chunks are stored
- * @param input the common part of the names of its chunks, unique to one try at the
- * upload
- * @param abandoned the common parts of earlier tries, whose chunks are to be collected
- * @param purpose what the account said it is for
- * @param filename the name that the account gave
- * @param chunks how many chunks there are
- * @param items how many lines there are
- * @param bytes how many bytes were sent
- * @param sha256 the hash of the bytes sent
- * @param models the models that its items name, up to a bound
- * @param endpoint the path that all its items go to
- * @param createdMillis when the upload began, Unix time
- * @param expiresMillis until when it is kept, Unix time
+ * @param hex the 32 hexadecimal digits of the file's identifier
+ * @param account the account that owns the file
+ * @param state the state of the upload
+ * @param input the common name prefix of the chunks, unique to one upload attempt
+ * @param abandoned the name prefixes of earlier upload attempts, whose chunks are to be
+ * deleted
+ * @param purpose the purpose that the account gave
+ * @param filename the file name that the account gave
+ * @param chunks the number of chunks
+ * @param items the number of items, one a line
+ * @param bytes the size of the uploaded content, in bytes
+ * @param sha256 the SHA-256 hash of the uploaded content, in hexadecimal
+ * @param models the models that the items name, up to a limit
+ * @param endpoint the request path of all items
+ * @param createdMillis when the upload was started, in milliseconds of Unix time
+ * @param expiresMillis when the file expires, in milliseconds of Unix time
  */
 public record FileRecord(String hex, String account, State state, String input, List<String> abandoned, String purpose,
 		String filename, int chunks, int items, long bytes, String sha256, List<String> models, String endpoint,
 		long createdMillis, long expiresMillis) {
 
 	/**
-	 * Copies the lists; a part that the record lacks is empty.
+	 * Copies the lists and replaces components that are missing in the stored record by
+	 * empty ones.
 	 */
 	public FileRecord {
 		Objects.requireNonNull(hex, "hex is null");
@@ -54,7 +55,7 @@
 		return JobJson.read(text, FileRecord.class);
 	}
 
-	static FileRecord begun(FileId id, FileSpec spec, String input, long now, long expires) {
+	static FileRecord uploading(FileId id, FileSpec spec, String input, long now, long expires) {
 		return new FileRecord(id.hex(), spec.account(), State.UPLOADING, input, List.of(), spec.purpose(),
 				spec.filename(), 0, 0, 0, "", List.of(), "", now, expires);
 	}
@@ -63,17 +64,17 @@
 		return JobJson.write(this);
 	}
 
-	FileRecord begunAgain(String next) {
-		List<String> tries = new ArrayList<>(this.abandoned);
-		tries.add(this.input);
-		return new FileRecord(this.hex, this.account, this.state, next, tries, this.purpose, this.filename, 0, 0, 0, "",
-				List.of(), "", this.createdMillis, this.expiresMillis);
+	FileRecord restarted(String next) {
+		List<String> abandonedInputs = new ArrayList<>(this.abandoned);
+		abandonedInputs.add(this.input);
+		return new FileRecord(this.hex, this.account, this.state, next, abandonedInputs, this.purpose, this.filename, 0,
+				0, 0, "", List.of(), "", this.createdMillis, this.expiresMillis);
 	}
 
-	FileRecord stored(UploadSummary size) {
+	FileRecord stored(UploadSummary summary) {
 		return new FileRecord(this.hex, this.account, State.STORED, this.input, this.abandoned, this.purpose,
-				this.filename, size.chunks(), size.items(), size.bytes(), size.sha256(), size.models(), size.endpoint(),
-				this.createdMillis, this.expiresMillis);
+				this.filename, summary.chunks(), summary.items(), summary.bytes(), summary.sha256(), summary.models(),
+				summary.endpoint(), this.createdMillis, this.expiresMillis);
 	}
 
 	FileRecord withoutAbandoned() {
@@ -84,27 +85,27 @@
 		return with(State.DELETING, this.abandoned);
 	}
 
-	FileRecord kept() {
+	FileRecord undeleted() {
 		return with(State.STORED, this.abandoned);
 	}
 
-	private FileRecord with(State next, List<String> tries) {
-		return new FileRecord(this.hex, this.account, next, this.input, tries, this.purpose, this.filename, this.chunks,
-				this.items, this.bytes, this.sha256, this.models, this.endpoint, this.createdMillis,
+	private FileRecord with(State next, List<String> abandonedInputs) {
+		return new FileRecord(this.hex, this.account, next, this.input, abandonedInputs, this.purpose, this.filename,
+				this.chunks, this.items, this.bytes, this.sha256, this.models, this.endpoint, this.createdMillis,
 				this.expiresMillis);
 	}
 
 	/**
-	 * Returns the file's name.
-	 * @return the name
+	 * Returns the identifier of the file.
+	 * @return the identifier
 	 */
 	public FileId id() {
 		return new FileId(this.hex, FileId.Content.UPLOAD);
 	}
 
 	/**
-	 * Tells whether the file may be used.
-	 * @return whether all chunks are stored
+	 * Returns whether the file can be used.
+	 * @return whether all chunks are stored and the file is not being deleted
 	 */
 	public boolean ready() {
 		return this.state == State.STORED;
@@ -112,9 +113,9 @@
 
 	/**
 	 * Returns the key of a chunk.
-	 * @param input the common part of the chunks' names
-	 * @param chunk the chunk's number
-	 * @return the key
+	 * @param input the common name prefix of the chunks
+	 * @param chunk the number of the chunk, from 0
+	 * @return the key in the object store
 	 */
 	public static ObjectKey chunkKey(String input, int chunk) {
 		return ObjectKey.of(Kind.CHUNK, input + "-" + chunk);
@@ -126,17 +127,17 @@
 	}
 
 	/**
-	 * How far an upload has come.
+	 * The state of a file.
 	 */
 	public enum State {
 
-		/** ChunkDeletion are being stored. */
+		/** Chunks are being stored. */
 		UPLOADING,
 
 		/** All chunks are stored. */
 		STORED,
 
-		/** It is being removed. */
+		/** The file is being deleted. */
 		DELETING
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/FileSpec.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/FileSpec.java
@@ -4,20 +4,21 @@
 import java.util.Optional;
 
 /**
- * What an account says about a file that it uploads.
+ * The description of a file that an account uploads.
  *
  * @param account the account
- * @param idempotencyKey the account's key of this upload, or empty if it gave none
- * @param purpose what it is for, as the OpenAI API names it
- * @param filename the name at the account's side
+ * @param idempotencyKey the account's idempotency key of the upload, or empty if it sent
+ * none
+ * @param purpose the purpose of the file, as the OpenAI API names it
+ * @param filename the file name that the account gave
  */
 public record FileSpec(String account, Optional<String> idempotencyKey, String purpose, String filename) {
 
-	/** The purpose of a file with the items of a job. */
+	/** The purpose of a file that contains the items of a batch job. */
 	public static final String BATCH = "batch";
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public FileSpec {
 		Objects.requireNonNull(account, "account is null");
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemId.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemId.java
@@ -1,18 +1,19 @@
 package org.ragworthook.core.job;
 
 /**
- * Which item of which job.
+ * The identifier of an item.
  *
  * @param job the job
- * @param chunk the chunk's number
- * @param index the item's number in the chunk
- * @param customId the account's own name of the item
+ * @param chunk the number of the chunk in the job, from 0
+ * @param index the index of the item in the chunk, from 0
+ * @param customId the identifier that the account gave the item
  */
 public record ItemId(JobId job, int chunk, int index, String customId) {
 
 	/**
-	 * Returns the name of the item's request, the same over all attempts and owners.
-	 * @return the name
+	 * Returns the request identifier of the item, which is the same for all attempts and
+	 * owners.
+	 * @return the request identifier
 	 */
 	public String requestId() {
 		return "batch_req_" + this.job.hex() + "-" + this.chunk + "-" + this.index;
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemOutcome.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemOutcome.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * What became of one attempt at an item.
+ * The outcome of one attempt at an item.
  */
 public sealed interface ItemOutcome {
 
@@ -12,12 +12,12 @@
 	 * The upstream answered.
 	 *
 	 * @param status the HTTP status
-	 * @param body the body
+	 * @param body the response body
 	 */
 	record Answered(int status, String body) implements ItemOutcome {
 
 		/**
-		 * Checks that all parts are there.
+		 * Checks that no component is null.
 		 */
 		public Answered {
 			Objects.requireNonNull(body, "body is null");
@@ -26,46 +26,48 @@
 	}
 
 	/**
-	 * The upstream never got any of it.
+	 * The item was not passed on to any upstream.
 	 *
-	 * @param retryAfter how long to wait
+	 * @param retryAfter the delay before the next attempt
 	 */
 	record NotPassedOn(Duration retryAfter) implements ItemOutcome {
 	}
 
 	/**
-	 * It was passed on, and the answer was lost.
+	 * The item was passed on to an upstream, and its answer was lost.
 	 *
-	 * @param detail what happened
+	 * @param detail the cause, for the error message
 	 */
 	record Broken(String detail) implements ItemOutcome {
 	}
 
 	/**
-	 * It gave way to online requests.
+	 * The item was preempted by online requests.
 	 *
-	 * @param text the text so far, what it was resumed with included
-	 * @param tokens the tokens so far
+	 * @param text the text generated so far, including the text it was resumed from
+	 * @param tokens the number of tokens in the text
 	 */
 	record Yielded(String text, int tokens) implements ItemOutcome {
 	}
 
 	/**
-	 * It was stopped by a cancel.
+	 * The item was stopped because its job was cancelled or the item was recalled.
 	 */
 	record Cancelled() implements ItemOutcome {
 	}
 
 	/**
-	 * It was refused, because a later owner of the shard was seen, and not passed on.
+	 * The item was rejected without being passed on, because the sidecar has seen a
+	 * higher epoch of the shard.
 	 */
 	record Fenced() implements ItemOutcome {
 	}
 
 	/**
-	 * The upstream crashed with it in flight.
+	 * The upstream crashed while it ran the item.
 	 *
-	 * @param inFlight how many requests were in flight, this one included
+	 * @param inFlight the number of requests that the upstream was running, including
+	 * this item
 	 */
 	record Crashed(int inFlight) implements ItemOutcome {
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemRate.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemRate.java
@@ -3,50 +3,50 @@
 import java.time.Duration;
 
 /**
- * How many items a shard ends in a second, smoothed.
+ * The rate at which the items of a shard end, smoothed over windows of 10 s.
  */
 final class ItemRate {
 
-	private static final long SPAN = Duration.ofSeconds(10).toNanos();
+	private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
 
-	private long since;
+	private long windowStart;
 
 	private int count;
 
 	private double perSecond;
 
-	private boolean begun;
+	private boolean started;
 
 	/**
-	 * Notes that an item has ended.
-	 * @param now the ticker's reading
+	 * Counts an item that has ended.
+	 * @param now the reading of the ticker, in nanoseconds
 	 */
-	void mark(long now) {
-		if (!this.begun) {
-			this.begun = true;
-			this.since = now;
+	void itemEnded(long now) {
+		if (!this.started) {
+			this.started = true;
+			this.windowStart = now;
 		}
 		this.count++;
-		settle(now);
+		update(now);
 	}
 
-	private void settle(long now) {
-		long span = now - this.since;
-		if (this.begun && span >= SPAN) {
+	private void update(long now) {
+		long span = now - this.windowStart;
+		if (this.started && span >= WINDOW_NANOS) {
 			double latest = this.count * (double) Duration.ofSeconds(1).toNanos() / span;
 			this.perSecond = (this.perSecond == 0) ? latest : (this.perSecond + latest) / 2;
-			this.since = now;
+			this.windowStart = now;
 			this.count = 0;
 		}
 	}
 
 	/**
-	 * Returns the pace.
-	 * @param now the ticker's reading
-	 * @return items a second; 0 as long as nothing is known
+	 * Returns the rate.
+	 * @param now the reading of the ticker, in nanoseconds
+	 * @return items a second; 0 until the first window with an ended item is over
 	 */
 	double perSecond(long now) {
-		settle(now);
+		update(now);
 		return this.perSecond;
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemRequest.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemRequest.java
@@ -6,20 +6,21 @@
 /**
  * One attempt at an item, as it is sent to a sidecar.
  *
- * @param id which item
- * @param item what to run
- * @param account whose item it is
- * @param shard the shard of its job
- * @param epoch the fencing number of the shard's lease
- * @param attempt the number of this attempt, from 1
- * @param isolated whether it must run with nothing beside it, as a suspect of a crash
- * @param resume from where to go on, or empty to start
+ * @param id the identifier of the item
+ * @param item the item
+ * @param account the account that owns the job
+ * @param shard the shard of the job
+ * @param epoch the epoch of the shard's lease, used as a fencing token
+ * @param attempt the number of this attempt at the current owner, from 1
+ * @param isolated whether the item must run alone on its upstream, because it is
+ * suspected of having crashed one
+ * @param resume the point to resume generation from, or empty to start from the beginning
  */
 public record ItemRequest(ItemId id, BatchItem item, String account, int shard, long epoch, int attempt,
 		boolean isolated, Optional<ResumePoint> resume) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public ItemRequest {
 		Objects.requireNonNull(id, "id is null");
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemResult.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemResult.java
@@ -13,14 +13,14 @@
 import org.ragworthook.core.error.JobException;
 
 /**
- * How one item ended, with the line that the account reads: the form of the OpenAI batch
- * API with the keys {@code id}, {@code custom_id}, {@code response} and {@code error}. In
- * a record it is one line of JSON with the keys {@code index}, {@code end} and, always
- * last, {@code line}.
+ * The result of one item, with the line of the output or error file, which has the keys
+ * {@code id}, {@code custom_id}, {@code response} and {@code error} of the OpenAI batch
+ * API. In a result record it is one line of JSON with the keys {@code index}, {@code
+ * end} and {@code line}; {@code line} always comes last.
  *
- * @param index the item's number in its chunk
- * @param end how it ended
- * @param line the line that the account reads, JSON text
+ * @param index the index of the item in its chunk
+ * @param end the final status of the item
+ * @param line the line of the output or error file, JSON text
  */
 public record ItemResult(int index, ItemStatus end, String line) {
 
@@ -29,7 +29,7 @@
 	private static final String LINE = "line";
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public ItemResult {
 		Objects.requireNonNull(end, "end is null");
@@ -37,47 +37,46 @@
 	}
 
 	/**
-	 * Returns the result of an item that was answered.
-	 * @param name which item
-	 * @param end whether the answer is a success
+	 * Returns the result of an item that an upstream answered.
+	 * @param id the identifier of the item
+	 * @param end the final status of the item
 	 * @param answer the upstream's answer
 	 * @return the result
 	 */
-	static ItemResult answered(ItemId name, ItemStatus end, ItemOutcome.Answered answer) {
-		ObjectNode line = head(name);
+	static ItemResult answered(ItemId id, ItemStatus end, ItemOutcome.Answered answer) {
+		ObjectNode line = lineWithIds(id);
 		ObjectNode response = line.putObject("response");
 		response.put("status_code", answer.status());
-		response.put("request_id", name.requestId());
-		response.set("body", parsed(answer.body()));
+		response.put("request_id", id.requestId());
+		response.set("body", bodyNode(answer.body()));
 		line.putNull("error");
-		return new ItemResult(name.index(), end, line.toString());
+		return new ItemResult(id.index(), end, line.toString());
 	}
 
 	/**
-	 * Returns the result of an item that has no answer.
-	 * @param name which item
-	 * @param end how it ended
-	 * @param code the kind of error
-	 * @param detail what happened
+	 * Returns the result of an item without an answer.
+	 * @param id the identifier of the item
+	 * @param end the final status of the item
+	 * @param code the error code
+	 * @param detail the error message
 	 * @return the result
 	 */
-	static ItemResult without(ItemId name, ItemStatus end, ErrorCode code, String detail) {
-		ObjectNode line = head(name);
+	static ItemResult unanswered(ItemId id, ItemStatus end, ErrorCode code, String detail) {
+		ObjectNode line = lineWithIds(id);
 		line.putNull("response");
 		ObjectNode error = line.putObject("error");
 		error.put("code", end.name().toLowerCase(java.util.Locale.ROOT));
 		error.put("message", new JobException(code, detail).getMessage());
-		return new ItemResult(name.index(), end, line.toString());
+		return new ItemResult(id.index(), end, line.toString());
 	}
 
-	private static ObjectNode head(ItemId name) {
-		return JobJson.MAPPER.createObjectNode().put("id", name.requestId()).put("custom_id", name.customId());
+	private static ObjectNode lineWithIds(ItemId id) {
+		return JobJson.MAPPER.createObjectNode().put("id", id.requestId()).put("custom_id", id.customId());
 	}
 
-	// An answer over several lines would break the account's file, so that JSON is
-	// written
-	// anew; what is not JSON becomes a text.
-	private static JsonNode parsed(String body) {
+	// Reformats a JSON body, because line ends in it would break the line format of the
+	// file. A body that is not JSON becomes a JSON string.
+	private static JsonNode bodyNode(String body) {
 		try {
 			JsonNode node = JobJson.MAPPER.readTree(body);
 			return node.isMissingNode() ? TextNode.valueOf(body) : node;
@@ -88,8 +87,8 @@
 	}
 
 	/**
-	 * Reads a result from its line of the record.
-	 * @param text one line
+	 * Parses a result from its line of a result record.
+	 * @param text the line
 	 * @return the result
 	 */
 	static ItemResult parse(String text) {
@@ -98,16 +97,16 @@
 			ItemStatus end = null;
 			parser.nextToken();
 			while (parser.nextFieldName() != null) {
-				String name = parser.currentName();
+				String field = parser.currentName();
 				parser.nextToken();
-				if (name.equals(LINE)) {
+				if (field.equals(LINE)) {
 					int from = (int) parser.currentTokenLocation().getCharOffset();
 					return new ItemResult(index, end, text.substring(from, text.length() - 1));
 				}
-				if (name.equals("index")) {
+				if (field.equals("index")) {
 					index = parser.getIntValue();
 				}
-				else if (name.equals("end")) {
+				else if (field.equals("end")) {
 					end = ItemStatus.valueOf(parser.getText());
 				}
 			}
@@ -119,8 +118,8 @@
 	}
 
 	/**
-	 * Returns the result as one line of the record.
-	 * @return the line, without its end
+	 * Returns the line of a result record for this result.
+	 * @return the line, without a line end
 	 */
 	String text() {
 		return "{\"index\":" + this.index + ",\"end\":\"" + this.end + "\",\"" + LINE + "\":" + this.line + "}";
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemRunner.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemRunner.java
@@ -11,22 +11,22 @@
 import org.ragworthook.core.error.ErrorCode;
 
 /**
- * Runs the items of an owner's open chunks: sends them, judges what became of each
+ * Runs the items of a shard owner's open chunks: sends them, handles the outcome of each
  * attempt, and writes results in groups.
  */
 final class ItemRunner {
 
-	private static final Duration RETRY = Duration.ofSeconds(1);
+	private static final Duration STORE_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final Duration STOPPED_PAUSE = Duration.ofSeconds(1);
+	private static final Duration CANCELLED_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final Duration FENCED_PAUSE = Duration.ofSeconds(1);
+	private static final Duration FENCED_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final Duration SHORTEST_PAUSE = Duration.ofMillis(100);
+	private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(100);
 
-	private static final Duration QUIET_CHECK = Duration.ofMillis(50);
+	private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(50);
 
-	private static final int CRASHES_TO_CONVICT = 2;
+	private static final int ISOLATED_CRASH_LIMIT = 2;
 
 	private final ShardOwner owner;
 
@@ -36,23 +36,24 @@
 
 	private final ChunkWriter writer;
 
-	ItemRunner(ShardOwner owner, ShardOwner.Builder parts, ChunkWriter writer) {
+	ItemRunner(ShardOwner owner, ShardOwner.Builder builder, ChunkWriter writer) {
 		this.owner = Objects.requireNonNull(owner, "owner is null");
-		this.sender = parts.sender;
-		this.policy = parts.policy;
+		this.sender = builder.sender;
+		this.policy = builder.policy;
 		this.writer = Objects.requireNonNull(writer, "writer is null");
 	}
 
 	// -- sending
 
 	/**
-	 * Sends the next item of a job, or has it recorded as started first.
+	 * Sends the next ready item of a job. A non-idempotent item is sent once its start is
+	 * recorded.
 	 * @param job the job
-	 * @param room what sidecars would hold of a route
+	 * @param freeSlots returns the number of free slots of a route
 	 */
-	void startNext(JobRun job, ToIntFunction<String> room) {
+	void startNext(JobRun job, ToIntFunction<String> freeSlots) {
 		for (ChunkRun chunk : job.chunks()) {
-			OptionalInt next = chunk.nextReady(room);
+			OptionalInt next = chunk.pollReady(freeSlots);
 			if (next.isPresent()) {
 				start(chunk, next.getAsInt());
 				return;
@@ -60,90 +61,90 @@
 		}
 	}
 
-	// An item that may run only once is recorded as started before it is sent. Should
-	// this owner be lost, the next one finds it started and does not run it again.
+	// The start of a non-idempotent item is recorded before the item is sent. If this
+	// owner is lost, the next one sees the record and does not run the item again.
 	private void start(ChunkRun chunk, int index) {
-		if (chunk.item(index).idempotent() || chunk.isStarted(index)) {
+		if (chunk.item(index).idempotent() || chunk.startRecorded(index)) {
 			send(chunk, index);
 		}
 		else {
-			chunk.toStart(index);
+			chunk.markStarting(index);
 			this.owner.serial().execute(() -> write(chunk));
 		}
 	}
 
-	int startingOn(Collection<JobRun> jobs, String route) {
+	int startingCount(Collection<JobRun> jobs, String route) {
 		int starting = 0;
 		for (JobRun job : jobs) {
 			for (ChunkRun chunk : job.chunks()) {
-				starting += chunk.startingOn(route);
+				starting += chunk.startingCount(route);
 			}
 		}
 		return starting;
 	}
 
 	private void send(ChunkRun chunk, int index) {
-		int attempt = chunk.nowRunning(index);
-		ItemRequest request = new ItemRequest(chunk.name(index), chunk.item(index), chunk.job().record().account(),
-				this.owner.shard(), this.owner.epoch(), attempt, chunk.suspected(index), chunk.resume(index));
+		int attempt = chunk.markRunning(index);
+		ItemRequest request = new ItemRequest(chunk.itemId(index), chunk.item(index), chunk.job().record().account(),
+				this.owner.shard(), this.owner.epoch(), attempt, chunk.isSuspect(index), chunk.resumePoint(index));
 		this.sender.send(request).whenCompleteAsync((outcome, failure) -> {
-			if (chunk.returned(index, attempt)) {
-				judge(chunk, index, (failure != null) ? new ItemOutcome.Broken(failure.toString()) : outcome);
+			if (chunk.attemptEnded(index, attempt)) {
+				handleOutcome(chunk, index, (failure != null) ? new ItemOutcome.Broken(failure.toString()) : outcome);
 			}
 		}, this.owner.serial());
 	}
 
-	// -- judging
+	// -- outcomes
 
-	private void judge(ChunkRun chunk, int index, ItemOutcome outcome) {
-		boolean again = chunk.item(index).idempotent();
+	private void handleOutcome(ChunkRun chunk, int index, ItemOutcome outcome) {
+		boolean idempotent = chunk.item(index).idempotent();
 		if (outcome instanceof ItemOutcome.Answered answered) {
 			answered(chunk, index, answered);
 		}
 		else if (outcome instanceof ItemOutcome.NotPassedOn notPassedOn) {
-			Duration pause = notPassedOn.retryAfter();
-			retry(chunk, index, (pause.compareTo(SHORTEST_PAUSE) < 0) ? SHORTEST_PAUSE : pause);
+			Duration delay = notPassedOn.retryAfter();
+			retry(chunk, index, (delay.compareTo(MIN_RETRY_DELAY) < 0) ? MIN_RETRY_DELAY : delay);
 		}
 		else if (outcome instanceof ItemOutcome.Fenced) {
-			retry(chunk, index, FENCED_PAUSE);
+			retry(chunk, index, FENCED_RETRY_DELAY);
 		}
-		else if (!again) {
-			end(chunk, without(chunk, index, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
+		else if (!idempotent) {
+			end(chunk, unanswered(chunk, index, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
 					"the item was started; its attempt ended as " + outcome.getClass().getSimpleName()));
 		}
 		else if (outcome instanceof ItemOutcome.Yielded yielded) {
-			chunk.resumeFrom(new ResumePoint(index, yielded.text(), yielded.tokens()));
+			chunk.saveResumePoint(new ResumePoint(index, yielded.text(), yielded.tokens()));
 			ready(chunk, index);
 		}
 		else if (outcome instanceof ItemOutcome.Crashed crashed) {
 			crashed(chunk, index, crashed);
 		}
 		else if (outcome instanceof ItemOutcome.Broken broken) {
-			failed(chunk, index, without(chunk, index, ItemStatus.FAILED, ErrorCode.ITEM_FAILED, broken.detail()));
+			failed(chunk, index, unanswered(chunk, index, ItemStatus.FAILED, ErrorCode.ITEM_FAILED, broken.detail()));
 		}
 		else {
-			stopped(chunk, index);
+			retryCancelled(chunk, index);
 		}
-		this.owner.wake();
+		this.owner.requestDispatch();
 	}
 
-	// Sidecars may know of a cancel that this owner has not heard of yet. Sent again at
-	// once, the item would come back at once, and the entry would do nothing else.
-	private void stopped(ChunkRun chunk, int index) {
-		retry(chunk, index, STOPPED_PAUSE);
-		this.owner.later(STOPPED_PAUSE, this.owner::relist);
+	// Sidecars may know of a cancellation that this owner has not seen yet. Without the
+	// delay the item would be sent and returned in a busy loop.
+	private void retryCancelled(ChunkRun chunk, int index) {
+		retry(chunk, index, CANCELLED_RETRY_DELAY);
+		this.owner.schedule(CANCELLED_RETRY_DELAY, this.owner::relist);
 	}
 
 	private void answered(ChunkRun chunk, int index, ItemOutcome.Answered answer) {
 		boolean success = answer.status() >= 200 && answer.status() < 300;
-		ItemResult result = ItemResult.answered(chunk.name(index), success ? ItemStatus.COMPLETED : ItemStatus.FAILED,
+		ItemResult result = ItemResult.answered(chunk.itemId(index), success ? ItemStatus.COMPLETED : ItemStatus.FAILED,
 				answer);
-		if (ResultRecord.bytes(result.text()) > ResultRecord.MAX_BYTES) {
-			result = without(chunk, index, ItemStatus.FAILED, ErrorCode.ITEM_RESULT_TOO_LARGE,
+		if (ResultRecord.escapedLength(result.text()) > ResultRecord.MAX_BYTES) {
+			result = unanswered(chunk, index, ItemStatus.FAILED, ErrorCode.ITEM_RESULT_TOO_LARGE,
 					"the answer has " + answer.body().length() + " characters");
 		}
-		boolean passing = answer.status() == 408 || answer.status() == 429 || answer.status() >= 500;
-		if (passing && chunk.item(index).idempotent()) {
+		boolean transientFailure = answer.status() == 408 || answer.status() == 429 || answer.status() >= 500;
+		if (transientFailure && chunk.item(index).idempotent()) {
 			failed(chunk, index, result);
 		}
 		else {
@@ -152,36 +153,37 @@
 	}
 
 	private void failed(ChunkRun chunk, int index, ItemResult last) {
-		int failures = chunk.failed(index);
-		if (failures >= this.policy.attempts()) {
+		int failures = chunk.recordFailure(index);
+		if (failures >= this.policy.maxAttempts()) {
 			end(chunk, last);
 		}
 		else {
-			retry(chunk, index, this.policy.pause(failures));
+			retry(chunk, index, this.policy.backoff(failures));
 		}
 	}
 
-	// All that were in flight at a crash are suspects and run alone from then on. Only
-	// crashes of its own convict an item, so that its neighbours are not condemned.
+	// All items in flight at a crash are suspects and run alone from then on. An item
+	// ends as poisoned only by crashes while it ran alone, so that the items beside it
+	// are not blamed.
 	private void crashed(ChunkRun chunk, int index, ItemOutcome.Crashed crash) {
-		chunk.suspect(index);
-		if (crash.inFlight() <= 1 && chunk.crashedAlone(index) >= CRASHES_TO_CONVICT) {
-			end(chunk, without(chunk, index, ItemStatus.POISONED, ErrorCode.ITEM_POISONED,
-					"the item crashed " + CRASHES_TO_CONVICT + " upstreams that ran nothing else"));
+		chunk.markSuspect(index);
+		if (crash.inFlight() <= 1 && chunk.recordIsolatedCrash(index) >= ISOLATED_CRASH_LIMIT) {
+			end(chunk, unanswered(chunk, index, ItemStatus.POISONED, ErrorCode.ITEM_POISONED,
+					"the item crashed " + ISOLATED_CRASH_LIMIT + " upstreams that ran nothing else"));
 		}
 		else {
-			retry(chunk, index, this.policy.firstPause());
+			retry(chunk, index, this.policy.initialBackoff());
 		}
 	}
 
-	private void retry(ChunkRun chunk, int index, Duration pause) {
+	private void retry(ChunkRun chunk, int index, Duration delay) {
 		if (chunk.job().cancelling()) {
-			endOpen(chunk);
+			cancelUnfinished(chunk);
 			return;
 		}
-		this.owner.later(pause, () -> {
+		this.owner.schedule(delay, () -> {
 			ready(chunk, index);
-			this.owner.wake();
+			this.owner.requestDispatch();
 		});
 	}
 
@@ -190,14 +192,14 @@
 			return;
 		}
 		if (chunk.job().cancelling()) {
-			endOpen(chunk);
+			cancelUnfinished(chunk);
 			return;
 		}
-		chunk.makeReady(index, true);
+		chunk.enqueue(index, true);
 	}
 
-	private static ItemResult without(ChunkRun chunk, int index, ItemStatus end, ErrorCode code, String detail) {
-		return ItemResult.without(chunk.name(index), end, code, detail);
+	private static ItemResult unanswered(ChunkRun chunk, int index, ItemStatus end, ErrorCode code, String detail) {
+		return ItemResult.unanswered(chunk.itemId(index), end, code, detail);
 	}
 
 	// -- results
@@ -209,45 +211,45 @@
 	}
 
 	private void writeIfDue(ChunkRun chunk) {
-		if (chunk.mustWrite(this.policy.checkpoints())) {
+		if (chunk.writeDue(this.policy.checkpointsPerChunk())) {
 			write(chunk);
 		}
-		else if (chunk.dirty() && !chunk.timed()) {
-			chunk.timed(true);
-			this.owner.later(this.policy.checkpointEvery(), () -> {
-				chunk.timed(false);
+		else if (chunk.hasUnwritten() && !chunk.writeScheduled()) {
+			chunk.writeScheduled(true);
+			this.owner.schedule(this.policy.checkpointInterval(), () -> {
+				chunk.writeScheduled(false);
 				write(chunk);
 			});
 		}
-		settle(chunk);
+		notifyIfComplete(chunk);
 	}
 
 	void write(ChunkRun chunk) {
-		if (chunk.writing() || chunk.closed() || !chunk.dirty()) {
+		if (chunk.writing() || chunk.closed() || !chunk.hasUnwritten()) {
 			return;
 		}
-		ChunkRun.Pending pending = chunk.begin(this.owner.epoch());
+		ChunkRun.PendingWrite pending = chunk.beginWrite(this.owner.epoch());
 		this.writer.write(chunk, pending.record()).whenCompleteAsync((written, failure) -> {
 			if (chunk.closed()) {
 				return;
 			}
 			if (failure == null) {
-				wrote(chunk, pending, written);
+				resultsWritten(chunk, pending, written);
 			}
 			else if (StoreRetry.conflict(failure)) {
-				this.owner.drop(chunk.job());
+				this.owner.dropJob(chunk.job());
 			}
 			else {
-				this.owner.later(RETRY, () -> {
-					chunk.notWritten();
+				this.owner.schedule(STORE_RETRY_DELAY, () -> {
+					chunk.writeFailed();
 					write(chunk);
 				});
 			}
 		}, this.owner.serial());
 	}
 
-	private void wrote(ChunkRun chunk, ChunkRun.Pending pending, ChunkWriter.Written written) {
-		for (int index : chunk.wrote(pending, written.stored(), written.record())) {
+	private void resultsWritten(ChunkRun chunk, ChunkRun.PendingWrite pending, ChunkWriter.Written result) {
+		for (int index : chunk.writeSucceeded(pending, result.stored(), result.record())) {
 			if (this.owner.mayStart(chunk.job())) {
 				send(chunk, index);
 			}
@@ -258,41 +260,43 @@
 		writeIfDue(chunk);
 	}
 
-	private void settle(ChunkRun chunk) {
-		if (chunk.settled() && !chunk.closed()) {
-			this.owner.chunkSettled(chunk);
+	private void notifyIfComplete(ChunkRun chunk) {
+		if (chunk.complete() && !chunk.closed()) {
+			this.owner.chunkComplete(chunk);
 		}
 	}
 
 	// -- stopping
 
 	/**
-	 * Ends as cancelled what is not running, and what is found running after the grace.
+	 * Ends as cancelled all items of a chunk that are not running, and drops its queues.
 	 * @param chunk a chunk of a job that is being cancelled
 	 */
-	void endOpen(ChunkRun chunk) {
+	void cancelUnfinished(ChunkRun chunk) {
 		chunk.clearReady();
-		endOpen(chunk, false);
+		cancelUnfinished(chunk, false);
 	}
 
-	private void endOpen(ChunkRun chunk, boolean alsoRunning) {
-		for (int index : chunk.open(alsoRunning)) {
-			boolean running = alsoRunning && !chunk.item(index).idempotent();
+	private void cancelUnfinished(ChunkRun chunk, boolean includeRunning) {
+		for (int index : chunk.unfinished(includeRunning)) {
+			boolean running = includeRunning && !chunk.item(index).idempotent();
 			chunk.end(running
-					? without(chunk, index, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
+					? unanswered(chunk, index, ItemStatus.OUTCOME_UNKNOWN, ErrorCode.ITEM_OUTCOME_UNKNOWN,
 							"the item was running when its job was cancelled")
-					: without(chunk, index, ItemStatus.CANCELLED, ErrorCode.ITEM_CANCELLED, "the job was cancelled"));
+					: unanswered(chunk, index, ItemStatus.CANCELLED, ErrorCode.ITEM_CANCELLED,
+							"the job was cancelled"));
 		}
 		writeIfDue(chunk);
 	}
 
 	void cancel(JobRun job) {
 		this.sender.cancel(job.id());
-		this.owner.later(this.policy.grace(), () -> job.chunks().forEach((chunk) -> endOpen(chunk, true)));
+		this.owner.schedule(this.policy.gracePeriod(),
+				() -> job.chunks().forEach((chunk) -> cancelUnfinished(chunk, true)));
 	}
 
-	boolean runsOnce(JobRun job) {
-		return job.chunks().stream().anyMatch(ChunkRun::runsOnce);
+	boolean hasRunningNonIdempotent(JobRun job) {
+		return job.chunks().stream().anyMatch(ChunkRun::hasRunningNonIdempotent);
 	}
 
 	void recall(JobRun job) {
@@ -306,19 +310,19 @@
 	}
 
 	/**
-	 * Completes a future once nothing is under way.
-	 * @param quiet whether that is so
-	 * @param done completed then
+	 * Completes a future when a condition holds, by polling it.
+	 * @param idle whether no work is in progress
+	 * @param done the future, completed when the condition holds
 	 */
-	void whenQuiet(BooleanSupplier quiet, CompletableFuture<Void> done) {
+	void whenIdle(BooleanSupplier idle, CompletableFuture<Void> done) {
 		if (done.isDone()) {
 			return;
 		}
-		if (quiet.getAsBoolean()) {
+		if (idle.getAsBoolean()) {
 			done.complete(null);
 			return;
 		}
-		this.owner.later(QUIET_CHECK, () -> whenQuiet(quiet, done));
+		this.owner.schedule(IDLE_CHECK_INTERVAL, () -> whenIdle(idle, done));
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemSender.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemSender.java
@@ -3,45 +3,44 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Hands items to sidecars, no more than they offer to hold.
+ * Sends items to sidecars, no more than they have free slots for.
  */
 public interface ItemSender {
 
 	/**
-	 * Returns how many further items the sidecars of a route would hold.
-	 * @param route the model, or the path of a plain service
-	 * @return the room; 0 if there is none or nobody serves the route
+	 * Returns the number of further items that the sidecars of a route accept.
+	 * @param route the model, or the URL path of a service without models
+	 * @return the number of free slots; 0 if all are taken or no sidecar serves the route
 	 */
 	int freeSlots(String route);
 
 	/**
-	 * Tells whether any sidecar serves a route, be it busy or not. The chunks of a job
-	 * that nobody serves are kept out of memory.
-	 * @param route the model, or the path of a plain service
-	 * @return whether somebody does
+	 * Returns whether any sidecar serves a route, whether or not it has free slots. The
+	 * chunks of a job that no sidecar serves are not loaded into memory.
+	 * @param route the model, or the URL path of a service without models
+	 * @return whether a sidecar serves the route
 	 */
 	default boolean serves(String route) {
 		return true;
 	}
 
 	/**
-	 * Sends an attempt. The room of its route shrinks before this returns.
+	 * Sends an attempt. Takes a free slot of the route before it returns.
 	 * @param request the attempt
-	 * @return what became of it; completes for each attempt, also if the sidecar is lost,
-	 * and does not fail
+	 * @return the outcome; always completes normally, also if the sidecar is lost
 	 */
 	CompletableFuture<ItemOutcome> send(ItemRequest request);
 
 	/**
-	 * Stops all items of a job, those waiting at sidecars and those that run. No item of
-	 * the job will be sent again.
+	 * Stops all items of a job, both queued and running. No item of the job is sent
+	 * again.
 	 * @param job the job
 	 */
 	void cancel(JobId job);
 
 	/**
-	 * Has the items of a job that were sent by this sender given back. Another owner will
-	 * send them again.
+	 * Stops the items of a job that this sender has sent and lets their attempts
+	 * complete. Another owner sends them again.
 	 * @param job the job
 	 */
 	void recall(JobId job);
--- a/modules/core/src/main/java/org/ragworthook/core/job/ItemStatus.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ItemStatus.java
@@ -1,27 +1,30 @@
 package org.ragworthook.core.job;
 
 /**
- * How an item ended.
+ * The final status of an item.
  */
 public enum ItemStatus {
 
-	/** It was answered with success. */
+	/** The upstream answered with success. */
 	COMPLETED,
 
-	/** It was answered with an error, or every attempt at it failed. */
+	/**
+	 * The upstream answered with an error, all attempts failed, or the result is too
+	 * large.
+	 */
 	FAILED,
 
-	/** It crashes the upstreams that run it. */
+	/** The item crashed the upstreams that ran it. */
 	POISONED,
 
-	/** It may run only once, was started, and nobody knows how it came out. */
+	/** The item is not idempotent and was started, and its outcome is unknown. */
 	OUTCOME_UNKNOWN,
 
-	/** It was stopped with its job. */
+	/** The item was stopped because its job was cancelled. */
 	CANCELLED;
 
 	/**
-	 * Returns the counts of one item that ended so.
+	 * Returns the counts for one item with this status.
 	 * @return the counts
 	 */
 	public JobCounts counts() {
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobCanceller.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobCanceller.java
@@ -13,12 +13,12 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Cancels jobs. Whether a cancel or the completion came first is decided by one
- * conditional write on the job's record.
+ * Cancels jobs. One conditional write of the job's record decides whether the
+ * cancellation or the completion came first.
  */
 public final class JobCanceller {
 
-	private static final int TRIES = 8;
+	private static final int MAX_ATTEMPTS = 8;
 
 	private final ObjectStore store;
 
@@ -33,28 +33,29 @@
 	}
 
 	/**
-	 * Returns what cancels jobs.
-	 * @param store where jobs are kept
-	 * @param stamps marks each write
+	 * Returns a job canceller.
+	 * @param store the object store
+	 * @param stamps identifies each write
 	 * @param clock the time of day
-	 * @return the canceller
+	 * @return the job canceller
 	 */
 	public static JobCanceller of(ObjectStore store, Stamps stamps, InstantSource clock) {
 		return new JobCanceller(store, stamps, clock);
 	}
 
 	/**
-	 * Cancels a job.
-	 * @param account who asks
+	 * Cancels a job. Cancelling a job that is being cancelled or was cancelled has no
+	 * effect.
+	 * @param account the account that asks
 	 * @param id the job
-	 * @return the job as it is being cancelled; fails with {@code JOB_ENDED} if it ended
-	 * before
+	 * @return the record of the cancelled job; fails with {@code JOB_ENDED} if the job
+	 * had ended, and with {@code JOB_NOT_FOUND} if there is no such job of this account
 	 */
 	public CompletableFuture<JobRecord> cancel(String account, JobId id) {
-		return attempt(account, id, TRIES);
+		return attempt(account, id, MAX_ATTEMPTS);
 	}
 
-	private CompletableFuture<JobRecord> attempt(String account, JobId id, int tries) {
+	private CompletableFuture<JobRecord> attempt(String account, JobId id, int attemptsLeft) {
 		return this.store.read(id.key()).thenCompose((found) -> {
 			Stored stored = found.orElseThrow(() -> notFound(id));
 			JobRecord job = JobRecord.parse(stored.text());
@@ -67,17 +68,19 @@
 			if (job.status().ended()) {
 				throw new JobException(ErrorCode.JOB_ENDED, id + " ended before the cancel");
 			}
-			return write(stored, job.cancelling(this.clock.millis()), tries);
+			return write(stored, job.withCancel(this.clock.millis()), attemptsLeft);
 		});
 	}
 
-	// The owner's progress can come in between; the record is read again, a few times.
-	private CompletableFuture<JobRecord> write(Stored stored, JobRecord next, int tries) {
+	// The owner may write progress between the read and this write; the record is then
+	// read again, up to a limit of attempts.
+	private CompletableFuture<JobRecord> write(Stored stored, JobRecord next, int attemptsLeft) {
 		return this.writer.update(stored, next.text()).handle((written, failure) -> {
 			if (failure == null) {
 				return CompletableFuture.completedFuture(next);
 			}
-			return (StoreRetry.undecided(failure) && tries > 1) ? attempt(next.account(), next.id(), tries - 1)
+			return (StoreRetry.conflictOrUnknown(failure) && attemptsLeft > 1)
+					? attempt(next.account(), next.id(), attemptsLeft - 1)
 					: CompletableFuture.<JobRecord>failedFuture(Failures.root(failure));
 		}).thenCompose((settled) -> settled);
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobCounts.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobCounts.java
@@ -1,20 +1,20 @@
 package org.ragworthook.core.job;
 
 /**
- * How the items of chunks that have ended came out.
+ * The number of ended items by final status.
  *
- * @param completed answered with success
- * @param failed ended otherwise, cancelled ones not included
- * @param cancelled stopped before they ended
+ * @param completed the items that completed
+ * @param failed the items that ended in any other way, except cancelled ones
+ * @param cancelled the items that were cancelled
  */
 public record JobCounts(int completed, int failed, int cancelled) {
 
-	/** No items. */
+	/** All counts 0. */
 	public static final JobCounts NONE = new JobCounts(0, 0, 0);
 
 	/**
-	 * Adds the counts of other items.
-	 * @param other the other items' counts
+	 * Adds other counts.
+	 * @param other the counts to add
 	 * @return the sum
 	 */
 	public JobCounts plus(JobCounts other) {
@@ -23,8 +23,8 @@
 	}
 
 	/**
-	 * Returns how many items have ended.
-	 * @return the sum of the counts
+	 * Returns the number of ended items.
+	 * @return the sum of the three counts
 	 */
 	public int ended() {
 		return this.completed + this.failed + this.cancelled;
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobGarbageCollector.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobGarbageCollector.java
@@ -18,9 +18,8 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Removes what is no longer kept: jobs after their retention, files after theirs, and the
- * chunks of uploads that broke off. Everything is found through small records, so that no
- * sweep has to list chunks.
+ * Deletes jobs and files whose retention is over, and the chunks of interrupted uploads.
+ * Chunks are found through the job and file records, so that a sweep never lists chunks.
  */
 public final class JobGarbageCollector {
 
@@ -44,13 +43,13 @@
 	}
 
 	/**
-	 * Returns a collector.
-	 * @param store where jobs are kept
-	 * @param stamps marks each write
+	 * Returns a garbage collector.
+	 * @param store the object store
+	 * @param stamps identifies each write
 	 * @param clock the time of day
 	 * @param retention how long a job is kept after its end
-	 * @param uploadLimit how long an upload may take
-	 * @return the collector
+	 * @param uploadLimit how long an upload may take before it counts as interrupted
+	 * @return the garbage collector
 	 */
 	public static JobGarbageCollector of(ObjectStore store, Stamps stamps, InstantSource clock, Duration retention,
 			Duration uploadLimit) {
@@ -58,10 +57,10 @@
 	}
 
 	/**
-	 * Sweeps a shard. Meant for its owner, a few times a day; two sweeps at once do no
-	 * harm.
-	 * @param shard the shard's number
-	 * @return completes when the sweep is through; fails if the platform did not answer
+	 * Deletes the expired jobs and files of a shard. Intended to be called by the owner
+	 * of the shard a few times a day; concurrent sweeps are harmless.
+	 * @param shard the number of the shard
+	 * @return completes when the sweep is over; fails if the object store did not answer
 	 */
 	public CompletableFuture<Void> sweep(int shard) {
 		Labels mine = Labels.of(JobRecord.SHARD, Integer.toString(shard));
@@ -140,11 +139,11 @@
 	}
 
 	/**
-	 * Deletes a file on its owner's wish.
-	 * @param account who asks
+	 * Deletes a file at the request of its account.
+	 * @param account the account that asks
 	 * @param id the file
-	 * @return completes when it is gone; fails with {@code FILE_NOT_FOUND}, or with
-	 * {@code FILE_IN_USE} while a job reads it
+	 * @return completes when the file is deleted; fails with {@code FILE_NOT_FOUND}, or
+	 * with {@code FILE_IN_USE} while an open job reads the file
 	 */
 	public CompletableFuture<Void> delete(String account, FileId id) {
 		return this.store.read(id.key()).thenCompose((found) -> {
@@ -154,16 +153,16 @@
 		});
 	}
 
-	// A job may be accepted on the file at the same moment. The file is marked before the
-	// jobs are listed, and a job is created before the mark is looked for; so either the
-	// deletion sees the job or the job's acceptance sees the mark.
+	// A job on the file may be accepted concurrently. The file is marked before the jobs
+	// are listed, and a job is created before the mark is checked, so either the
+	// deletion sees the job or the acceptance sees the mark.
 	private CompletableFuture<Void> deleteUnlessUsed(Stored stored, FileRecord file) {
 		return this.writer.update(stored, file.deleting().text())
 			.thenCompose((marked) -> used(file).thenCompose((used) -> {
 				if (!used) {
 					return delete(marked, file);
 				}
-				return this.writer.update(marked, file.kept().text()).thenApply((kept) -> {
+				return this.writer.update(marked, file.undeleted().text()).thenApply((kept) -> {
 					throw new JobException(ErrorCode.FILE_IN_USE, file.id().id() + " is read by a job");
 				});
 			}));
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobId.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobId.java
@@ -8,8 +8,8 @@
 import org.ragworthook.core.store.ObjectKey;
 
 /**
- * Names a batch job. The name follows from the account and its idempotency key, so that a
- * job that is sent again, to any entry, meets the first one.
+ * The identifier of a batch job. It is derived from the account and the idempotency key,
+ * so that a repeated submission, to any entry, finds the existing job.
  *
  * @param hex 32 hexadecimal digits
  */
@@ -20,8 +20,8 @@
 	private static final Pattern HEX = Pattern.compile("[0-9a-f]{32}");
 
 	/**
-	 * Checks the name.
-	 * @throws IllegalArgumentException if it is not made of 32 hexadecimal digits
+	 * Checks the format.
+	 * @throws IllegalArgumentException if the text is not 32 hexadecimal digits
 	 */
 	public JobId {
 		Objects.requireNonNull(hex, "hex is null");
@@ -31,19 +31,19 @@
 	}
 
 	/**
-	 * Returns the name of a job.
-	 * @param account the account that sends it
-	 * @param idempotencyKey the account's own key of the job
-	 * @return the name
+	 * Returns the identifier of a job.
+	 * @param account the account that submits the job
+	 * @param idempotencyKey the account's idempotency key
+	 * @return the identifier
 	 */
 	public static JobId of(String account, String idempotencyKey) {
 		return new JobId(Digests.name("job", account, idempotencyKey));
 	}
 
 	/**
-	 * Reads a name as callers see it.
-	 * @param id such as {@code batch_0123...}
-	 * @return the name, or empty if it cannot be one
+	 * Parses an identifier from its external form.
+	 * @param id the external form, such as {@code batch_0123...}
+	 * @return the identifier, or empty if the text is not a valid one
 	 */
 	public static Optional<JobId> parse(String id) {
 		if (!id.startsWith(PREFIX) || !HEX.matcher(id.substring(PREFIX.length())).matches()) {
@@ -53,17 +53,17 @@
 	}
 
 	/**
-	 * Returns the name as callers see it.
-	 * @return such as {@code batch_0123...}
+	 * Returns the external form of this identifier.
+	 * @return the external form, such as {@code batch_0123...}
 	 */
 	public String id() {
 		return PREFIX + this.hex;
 	}
 
 	/**
-	 * Returns the shard that the job belongs to.
-	 * @param shards how many shards there are
-	 * @return the shard's number
+	 * Returns the shard of the job.
+	 * @param shards the number of shards
+	 * @return the number of the shard, from 0
 	 */
 	public int shard(int shards) {
 		return Digests.shard(this.hex, shards);
@@ -71,7 +71,7 @@
 
 	/**
 	 * Returns the key of the job's record.
-	 * @return the key
+	 * @return the key in the object store
 	 */
 	public ObjectKey key() {
 		return ObjectKey.of(Kind.JOB, this.hex);
@@ -79,8 +79,8 @@
 
 	/**
 	 * Returns the key of the result record of a chunk.
-	 * @param chunk the chunk's number
-	 * @return the key
+	 * @param chunk the number of the chunk, from 0
+	 * @return the key in the object store
 	 */
 	public ObjectKey resultKey(int chunk) {
 		return ObjectKey.of(Kind.RESULT, this.hex + "-" + chunk);
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobIntake.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobIntake.java
@@ -14,8 +14,8 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Accepts jobs. A job exists from one conditional create on; a job that is sent again, to
- * any entry, meets its own record there.
+ * Accepts jobs. A job is created by one conditional create of its record, so that a
+ * repeated submission, to any entry, finds the existing record.
  */
 public final class JobIntake {
 
@@ -41,22 +41,23 @@
 	}
 
 	/**
-	 * Returns an intake.
-	 * @param files where the items come from
-	 * @param stamps marks each write
-	 * @param timers wait between two tries
+	 * Returns a job intake.
+	 * @param files the files that jobs read their items from
+	 * @param stamps identifies each write
+	 * @param timers schedules retries
 	 * @param clock the time of day
-	 * @param shards over how many shards jobs are spread, the same at all entries
-	 * @return the intake
+	 * @param shards the number of shards, the same at all entries
+	 * @return the job intake
 	 */
 	public static JobIntake of(FileIntake files, Stamps stamps, Timers timers, InstantSource clock, int shards) {
 		return new JobIntake(files, stamps, timers, clock, shards);
 	}
 
 	/**
-	 * Accepts a job, or finds it if it was accepted before.
-	 * @param spec what the account asks for
-	 * @return the job's record; fails with a {@link JobException} if it was refused
+	 * Accepts a job, or returns the existing one if it was accepted before.
+	 * @param spec the job to accept
+	 * @return the record of the job; fails with a {@link JobException} if the job is
+	 * rejected
 	 */
 	public CompletableFuture<JobRecord> accept(JobSpec spec) {
 		return this.retry.call(() -> this.files.file(spec.account(), spec.input())).exceptionally((failure) -> {
@@ -75,19 +76,17 @@
 		return this.retry.call(() -> this.writer.create(job.id().key(), job.text(), job.labels()))
 			.handle((stored, failure) -> {
 				if (failure == null) {
-					return confirmed(stored, job, spec);
+					return confirmFile(stored, job, spec);
 				}
-				return StoreRetry.undecided(failure) ? existing(job)
+				return StoreRetry.conflictOrUnknown(failure) ? existing(job)
 						: CompletableFuture.<JobRecord>failedFuture(refused(failure));
 			})
 			.thenCompose((accepted) -> accepted);
 	}
 
-	// The file may have been removed at the same moment; see JobGarbageCollector. The job
-	// is
-	// then
-	// withdrawn before it is acknowledged.
-	private CompletableFuture<JobRecord> confirmed(Stored stored, JobRecord job, JobSpec spec) {
+	// The file may have been deleted concurrently, see JobGarbageCollector. The job is
+	// then withdrawn before it is acknowledged.
+	private CompletableFuture<JobRecord> confirmFile(Stored stored, JobRecord job, JobSpec spec) {
 		return this.retry.call(() -> this.files.file(spec.account(), spec.input())).handle((file, failure) -> {
 			if (failure != null) {
 				return CompletableFuture.<JobRecord>failedFuture(new JobException(ErrorCode.JOB_OUTCOME_UNKNOWN,
@@ -96,7 +95,7 @@
 			if (file.isPresent()) {
 				return CompletableFuture.completedFuture(job);
 			}
-			JobRecord withdrawn = job.ended(JobStatus.CANCELLED, this.clock.millis());
+			JobRecord withdrawn = job.withEnd(JobStatus.CANCELLED, this.clock.millis());
 			return this.retry.call(() -> this.writer.update(stored, withdrawn.text(), withdrawn.labels()))
 				.<JobRecord>thenApply((written) -> {
 					throw new JobException(ErrorCode.FILE_NOT_FOUND, "no file " + spec.input().id());
@@ -104,13 +103,13 @@
 		}).thenCompose((settled) -> settled);
 	}
 
-	private CompletableFuture<JobRecord> existing(JobRecord again) {
-		return this.retry.call(() -> this.store.read(again.id().key())).handle((found, failure) -> {
+	private CompletableFuture<JobRecord> existing(JobRecord repeated) {
+		return this.retry.call(() -> this.store.read(repeated.id().key())).handle((found, failure) -> {
 			if (failure != null) {
-				throw unknown();
+				throw outcomeUnknown();
 			}
-			JobRecord first = found.map(Stored::text).map(JobRecord::parse).orElseThrow(JobIntake::unknown);
-			if (!first.fingerprint().equals(again.fingerprint())) {
+			JobRecord first = found.map(Stored::text).map(JobRecord::parse).orElseThrow(JobIntake::outcomeUnknown);
+			if (!first.fingerprint().equals(repeated.fingerprint())) {
 				throw new JobException(ErrorCode.JOB_KEY_REUSED,
 						first.id() + " was accepted under this key with other content");
 			}
@@ -118,9 +117,9 @@
 		});
 	}
 
-	// After an unknown outcome the job may be there or may still appear. Sent again under
-	// its key, it is either found or accepted.
-	private static JobException unknown() {
+	// After a write with an unknown outcome the job may exist or may still appear. A
+	// repeated submission under the same key either finds it or creates it.
+	private static JobException outcomeUnknown() {
 		return new JobException(ErrorCode.JOB_OUTCOME_UNKNOWN, "the store's answer was lost");
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobJson.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobJson.java
@@ -10,8 +10,8 @@
 import org.ragworthook.core.error.JobException;
 
 /**
- * Reads and writes records as JSON. Keys are the records' components in snake case; keys
- * of a newer version of the system are passed over.
+ * Reads and writes records as JSON. The keys are the component names in snake case.
+ * Unknown keys are ignored, since a newer version may have written them.
  */
 final class JobJson {
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobProgress.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobProgress.java
@@ -1,20 +1,21 @@
 package org.ragworthook.core.job;
 
 /**
- * How far the owner of a shard has come with a job.
+ * The progress of a job at the shard owner.
  *
  * @param id the job
- * @param account whose job it is
- * @param items how many items it has
- * @param counts how the items of chunks that have ended came out
- * @param dueMillis when it is due, Unix time
- * @param expectedMillis when it is expected to end, Unix time; 0: not known
+ * @param account the account that owns the job
+ * @param items the number of items of the job
+ * @param counts the counts of the ended chunks' items
+ * @param dueMillis when the job is due, in milliseconds of Unix time
+ * @param expectedMillis when the job is expected to end, in milliseconds of Unix time; 0
+ * if unknown
  */
 public record JobProgress(JobId id, String account, int items, JobCounts counts, long dueMillis, long expectedMillis) {
 
 	/**
-	 * Tells whether the job will be late.
-	 * @return whether it is expected to end after it is due
+	 * Returns whether the job is expected to miss its due time.
+	 * @return whether the expected end is after the due time
 	 */
 	public boolean late() {
 		return this.expectedMillis > this.dueMillis;
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobRecordWriter.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobRecordWriter.java
@@ -8,27 +8,29 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Keeps the records of an owner's jobs: progress, cancel and end, each by one conditional
- * write. The job's record decides whether a cancel or the completion came first.
+ * Writes the records of a shard owner's jobs: progress, cancellation and end, each by one
+ * conditional write. That write decides whether a cancellation or the completion came
+ * first.
  */
 final class JobRecordWriter {
 
-	private static final Duration RETRY = Duration.ofSeconds(1);
+	private static final Duration STORE_RETRY_DELAY = Duration.ofSeconds(1);
 
 	private final ShardOwner owner;
 
-	private final ShardOwner.Builder parts;
+	private final ShardOwner.Builder builder;
 
 	private final ConditionalWriter writer;
 
-	JobRecordWriter(ShardOwner owner, ShardOwner.Builder parts, ConditionalWriter writer) {
+	JobRecordWriter(ShardOwner owner, ShardOwner.Builder builder, ConditionalWriter writer) {
 		this.owner = Objects.requireNonNull(owner, "owner is null");
-		this.parts = Objects.requireNonNull(parts, "parts is null");
+		this.builder = Objects.requireNonNull(builder, "builder is null");
 		this.writer = Objects.requireNonNull(writer, "writer is null");
 	}
 
 	/**
-	 * Does what a job's state calls for: ends it, stops it, or records its progress.
+	 * Takes the next step for a job: drops, cancels or ends it, or records its progress
+	 * if that is due.
 	 * @param job the job
 	 */
 	void check(JobRun job) {
@@ -36,7 +38,7 @@
 			return;
 		}
 		if (job.record().status().ended() || job.record().epoch() > this.owner.epoch()) {
-			this.owner.drop(job);
+			this.owner.dropJob(job);
 			return;
 		}
 		if (job.record().status() == JobStatus.CANCELLING) {
@@ -52,22 +54,22 @@
 	}
 
 	private boolean progressDue(JobRun job) {
-		int fresh = job.done().size() - job.record().done().size();
-		long waited = this.parts.ticker.nanos() - job.progressNanos();
-		boolean waitedLong = waited >= this.parts.policy.progressEvery().toNanos();
-		return fresh >= JobRecord.RESERVE || (waitedLong && (fresh > 0 || job.lateChanged()));
+		int unrecorded = job.done().size() - job.record().done().size();
+		long waited = this.builder.ticker.nanos() - job.lastProgressNanos();
+		boolean intervalOver = waited >= this.builder.policy.progressInterval().toNanos();
+		return unrecorded >= JobRecord.RESERVE_CHUNKS || (intervalOver && (unrecorded > 0 || job.lateChanged()));
 	}
 
-	// ChunkDeletion below the reserve may have been claimed by an earlier owner that is
-	// paused.
-	// They are claimed here, so that none of its results shows after the job has ended.
+	// An earlier owner that is paused may have claimed chunks below the reserve. This
+	// owner claims them, so that no result of the earlier one appears after the job has
+	// ended.
 	private void cancel(JobRun job) {
 		if (!job.cancelling()) {
 			job.cancel();
 			this.owner.cancelItems(job);
 		}
-		job.chunks().forEach(this.owner::endOpenItems);
-		for (int chunk : job.maybeClaimed()) {
+		job.chunks().forEach(this.owner::cancelUnfinished);
+		for (int chunk : job.unopenedReserved()) {
 			this.owner.open(job, chunk);
 		}
 		if (job.openCount() == 0) {
@@ -76,19 +78,19 @@
 	}
 
 	/**
-	 * Records how far a job has come, which also reserves further chunks.
+	 * Records the progress of a job, which also extends its reserve of chunks.
 	 * @param job the job
 	 */
 	void progress(JobRun job) {
-		write(job, progressed(job), false);
+		write(job, progressOf(job), false);
 	}
 
-	private JobRecord progressed(JobRun job) {
-		return job.record().progressed(job.done(), job.counts(), this.owner.epoch(), job.expectedMillis());
+	private JobRecord progressOf(JobRun job) {
+		return job.record().withProgress(job.done(), job.counts(), this.owner.epoch(), job.expectedMillis());
 	}
 
 	private void end(JobRun job, JobStatus status) {
-		write(job, progressed(job).ended(status, this.parts.clock.millis()), true);
+		write(job, progressOf(job).withEnd(status, this.builder.clock.millis()), true);
 	}
 
 	private void write(JobRun job, JobRecord next, boolean last) {
@@ -96,46 +98,46 @@
 			return;
 		}
 		job.writing(true);
-		job.progressNanos(this.parts.ticker.nanos());
+		job.lastProgressNanos(this.builder.ticker.nanos());
 		this.writer.update(job.stored(), next.text(), next.labels()).whenCompleteAsync((stored, failure) -> {
 			if (failure == null) {
 				written(job, stored, next, last);
 			}
 			else if (StoreRetry.conflict(failure)) {
-				readAgain(job);
+				reread(job);
 			}
 			else {
-				this.owner.later(RETRY, () -> readAgain(job));
+				this.owner.schedule(STORE_RETRY_DELAY, () -> reread(job));
 			}
 		}, this.owner.serial());
 	}
 
 	private void written(JobRun job, Stored stored, JobRecord next, boolean last) {
 		job.writing(false);
-		job.adopt(stored, next);
+		job.update(stored, next);
 		if (last) {
-			this.owner.ended(job);
+			this.owner.jobEnded(job);
 			return;
 		}
 		check(job);
-		this.owner.wake();
+		this.owner.requestDispatch();
 	}
 
-	private void readAgain(JobRun job) {
-		this.parts.store.read(job.id().key()).whenCompleteAsync((found, failure) -> {
+	private void reread(JobRun job) {
+		this.builder.store.read(job.id().key()).whenCompleteAsync((found, failure) -> {
 			if (failure != null) {
-				this.owner.later(RETRY, () -> readAgain(job));
+				this.owner.schedule(STORE_RETRY_DELAY, () -> reread(job));
 				return;
 			}
 			job.writing(false);
 			Optional<Stored> newest = found;
 			if (newest.isEmpty()) {
-				this.owner.drop(job);
+				this.owner.dropJob(job);
 				return;
 			}
-			job.adopt(newest.get(), JobRecord.parse(newest.get().text()));
+			job.update(newest.get(), JobRecord.parse(newest.get().text()));
 			check(job);
-			this.owner.wake();
+			this.owner.requestDispatch();
 		}, this.owner.serial());
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobResults.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobResults.java
@@ -17,7 +17,8 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Reads jobs and their results. Needs nothing but the platform, so that any entry can.
+ * Reads jobs, results and files. Uses only the object store, so that any entry can serve
+ * any job.
  */
 public final class JobResults {
 
@@ -28,8 +29,8 @@
 	}
 
 	/**
-	 * Returns what reads results.
-	 * @param store where jobs are kept
+	 * Returns a reader.
+	 * @param store the object store
 	 * @return the reader
 	 */
 	public static JobResults of(ObjectStore store) {
@@ -37,10 +38,11 @@
 	}
 
 	/**
-	 * Reads a job.
-	 * @param account who asks
+	 * Reads the record of a job.
+	 * @param account the account that asks
 	 * @param id the job
-	 * @return the job, or empty if there is none or another account owns it
+	 * @return the record, or empty if the job does not exist or belongs to another
+	 * account
 	 */
 	public CompletableFuture<Optional<JobRecord>> job(String account, JobId id) {
 		return this.store.read(id.key())
@@ -50,8 +52,8 @@
 
 	/**
 	 * Reads the jobs of an account.
-	 * @param account who asks
-	 * @return its jobs, the newest first
+	 * @param account the account that asks
+	 * @return the records of its jobs, newest first
 	 */
 	public CompletableFuture<List<JobRecord>> jobs(String account) {
 		return this.store.list(Kind.JOB, JobRecord.accountLabels(account))
@@ -64,11 +66,12 @@
 	}
 
 	/**
-	 * Reads the lines of a job's output or errors, one chunk at a time.
+	 * Reads the lines of a job's output or error file, one chunk at a time.
 	 * @param job the job
-	 * @param content the output or the errors
-	 * @param sink takes the lines of a chunk; the next chunk is read when it is done
-	 * @return completes after the last line
+	 * @param content the kind of file, output or errors
+	 * @param sink called with the lines of a chunk; the next chunk is read when its
+	 * future completes
+	 * @return completes after the last chunk
 	 */
 	public CompletableFuture<Void> read(JobRecord job, FileId.Content content,
 			Function<List<String>, CompletableFuture<Void>> sink) {
@@ -94,11 +97,11 @@
 	}
 
 	/**
-	 * Reads the results of a chunk. In a job that was cancelled, items without a result
-	 * are cancelled ones.
+	 * Reads the results of a chunk. Items of a cancelled job that have no result are
+	 * returned as cancelled.
 	 * @param job the job
-	 * @param chunk the chunk's number
-	 * @return the results so far
+	 * @param chunk the number of the chunk, from 0
+	 * @return the results written so far
 	 */
 	public CompletableFuture<List<ItemResult>> results(JobRecord job, int chunk) {
 		return this.store.read(job.id().resultKey(chunk)).thenCompose((found) -> {
@@ -114,7 +117,7 @@
 	private CompletableFuture<List<ItemResult>> all(ResultRecord record) {
 		CompletableFuture<List<ItemResult>> all = CompletableFuture.completedFuture(new ArrayList<>(record.results()));
 		for (String part : record.head().parts()) {
-			all = all.thenCombine(ChunkClaimer.part(this.store, part), (before, further) -> {
+			all = all.thenCombine(ChunkClaimer.readPart(this.store, part), (before, further) -> {
 				before.addAll(further);
 				return before;
 			});
@@ -138,15 +141,16 @@
 	}
 
 	private static ItemResult cancelled(JobRecord job, int chunk, int index, BatchItem item) {
-		return ItemResult.without(new ItemId(job.id(), chunk, index, item.customId()), ItemStatus.CANCELLED,
+		return ItemResult.unanswered(new ItemId(job.id(), chunk, index, item.customId()), ItemStatus.CANCELLED,
 				ErrorCode.ITEM_CANCELLED, "the job was cancelled before the item started");
 	}
 
 	/**
 	 * Reads the lines of an uploaded file, one chunk at a time.
 	 * @param file the file
-	 * @param sink takes the lines of a chunk
-	 * @return completes after the last line
+	 * @param sink called with the lines of a chunk; the next chunk is read when its
+	 * future completes
+	 * @return completes after the last chunk
 	 */
 	public CompletableFuture<Void> read(FileRecord file, Function<List<String>, CompletableFuture<Void>> sink) {
 		return readFrom(file, 0, sink);
@@ -164,8 +168,8 @@
 
 	/**
 	 * Reads the files of an account.
-	 * @param account who asks
-	 * @return the files that are stored, the newest first
+	 * @param account the account that asks
+	 * @return the records of its completely stored files, newest first
 	 */
 	public CompletableFuture<List<FileRecord>> files(String account) {
 		Labels owner = Labels.of(JobRecord.ACCOUNT, Digests.name("account", account));
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobRun.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobRun.java
@@ -13,13 +13,14 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * A job while an owner works on it. Used by one thread at a time.
+ * The run state of a job at the shard owner. Not thread-safe: used on the owner's serial
+ * executor.
  */
 final class JobRun {
 
 	private final JobId id;
 
-	private final Map<Integer, ChunkRun> open = new TreeMap<>();
+	private final Map<Integer, ChunkRun> openChunks = new TreeMap<>();
 
 	private final Set<Integer> opening = new HashSet<>();
 
@@ -31,13 +32,13 @@
 
 	private JobCounts counts;
 
-	private int next;
+	private int nextCandidate;
 
 	private double urgency = 1;
 
 	private long expectedMillis;
 
-	private long progressNanos;
+	private long lastProgressNanos;
 
 	private boolean cancelling;
 
@@ -65,7 +66,7 @@
 		return this.stored;
 	}
 
-	void adopt(Stored newer, JobRecord content) {
+	void update(Stored newer, JobRecord content) {
 		this.stored = newer;
 		this.record = content;
 	}
@@ -83,7 +84,7 @@
 			this.done = this.done.with(chunk);
 			this.counts = this.counts.plus(ended);
 		}
-		this.open.remove(chunk);
+		this.openChunks.remove(chunk);
 	}
 
 	boolean allDone() {
@@ -97,36 +98,36 @@
 	// -- chunks
 
 	List<ChunkRun> chunks() {
-		return new ArrayList<>(this.open.values());
+		return new ArrayList<>(this.openChunks.values());
 	}
 
 	int openCount() {
-		return this.open.size() + this.opening.size();
+		return this.openChunks.size() + this.opening.size();
 	}
 
 	int readyCount() {
 		int ready = 0;
-		for (ChunkRun chunk : this.open.values()) {
+		for (ChunkRun chunk : this.openChunks.values()) {
 			ready += chunk.readyCount();
 		}
 		return ready;
 	}
 
 	OptionalInt nextChunk() {
-		while (this.next < this.record.chunks() && taken(this.next)) {
-			this.next++;
+		while (this.nextCandidate < this.record.chunks() && doneOrOpen(this.nextCandidate)) {
+			this.nextCandidate++;
 		}
-		return (this.next < this.record.chunks()) ? OptionalInt.of(this.next) : OptionalInt.empty();
+		return (this.nextCandidate < this.record.chunks()) ? OptionalInt.of(this.nextCandidate) : OptionalInt.empty();
 	}
 
-	private boolean taken(int chunk) {
-		return this.done.contains(chunk) || this.open.containsKey(chunk) || this.opening.contains(chunk);
+	private boolean doneOrOpen(int chunk) {
+		return this.done.contains(chunk) || this.openChunks.containsKey(chunk) || this.opening.contains(chunk);
 	}
 
-	List<Integer> maybeClaimed() {
+	List<Integer> unopenedReserved() {
 		List<Integer> chunks = new ArrayList<>();
 		for (int chunk = 0; chunk < this.record.reserved(); chunk++) {
-			if (!taken(chunk)) {
+			if (!doneOrOpen(chunk)) {
 				chunks.add(chunk);
 			}
 		}
@@ -141,24 +142,24 @@
 		this.opening.remove(chunk);
 	}
 
-	void notOpened(int chunk) {
+	void openFailed(int chunk) {
 		this.opening.remove(chunk);
-		this.next = Math.min(this.next, chunk);
+		this.nextCandidate = Math.min(this.nextCandidate, chunk);
 	}
 
 	void add(ChunkRun chunk) {
-		this.open.put(chunk.number(), chunk);
+		this.openChunks.put(chunk.number(), chunk);
 	}
 
 	void drop(ChunkRun chunk) {
 		chunk.close();
-		this.open.remove(chunk.number(), chunk);
-		this.next = Math.min(this.next, chunk.number());
+		this.openChunks.remove(chunk.number(), chunk);
+		this.nextCandidate = Math.min(this.nextCandidate, chunk.number());
 	}
 
-	boolean hasReady(ToIntFunction<String> room) {
-		for (ChunkRun chunk : this.open.values()) {
-			if (chunk.hasReady(room)) {
+	boolean hasReady(ToIntFunction<String> freeSlots) {
+		for (ChunkRun chunk : this.openChunks.values()) {
+			if (chunk.hasReady(freeSlots)) {
 				return true;
 			}
 		}
@@ -170,10 +171,10 @@
 	}
 
 	boolean busy() {
-		return !this.opening.isEmpty() || this.writing || this.open.values().stream().anyMatch(ChunkRun::busy);
+		return !this.opening.isEmpty() || this.writing || this.openChunks.values().stream().anyMatch(ChunkRun::busy);
 	}
 
-	// -- pace
+	// -- expected end
 
 	double urgency() {
 		return this.urgency;
@@ -183,7 +184,7 @@
 		return this.expectedMillis;
 	}
 
-	void pace(long now, long expected) {
+	void expectEnd(long now, long expected) {
 		this.expectedMillis = expected;
 		this.urgency = Urgency.of(now, expected, this.record.dueMillis());
 	}
@@ -193,12 +194,12 @@
 		return this.expectedMillis > 0 && late != this.record.late();
 	}
 
-	long progressNanos() {
-		return this.progressNanos;
+	long lastProgressNanos() {
+		return this.lastProgressNanos;
 	}
 
-	void progressNanos(long now) {
-		this.progressNanos = now;
+	void lastProgressNanos(long now) {
+		this.lastProgressNanos = now;
 	}
 
 	// -- state
@@ -215,8 +216,8 @@
 		return this.writing;
 	}
 
-	void writing(boolean now) {
-		this.writing = now;
+	void writing(boolean value) {
+		this.writing = value;
 	}
 
 	boolean closed() {
@@ -225,7 +226,7 @@
 
 	void close() {
 		this.closed = true;
-		this.open.values().forEach(ChunkRun::close);
+		this.openChunks.values().forEach(ChunkRun::close);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobRunner.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobRunner.java
@@ -28,15 +28,15 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Runs batch jobs at one entry: holds its share of the shards and an owner for each,
- * hears of new and cancelled jobs by one watch, and shares the sidecars' room out over
- * the owners in turn.
+ * Runs batch jobs at one entry. Holds the entry's share of the shard leases and one owner
+ * for each shard, watches for new and cancelled jobs, and lets the owners take turns at
+ * the sidecars' free slots.
  */
 public final class JobRunner implements ShardListener {
 
-	private static final Duration WATCH_AGAIN = Duration.ofSeconds(1);
+	private static final Duration WATCH_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final int TURN = 8;
+	private static final int ITEMS_PER_TURN = 8;
 
 	private final Builder builder;
 
@@ -48,9 +48,9 @@
 
 	private final SerialExecutor serial = new SerialExecutor();
 
-	private final AtomicBoolean pumping = new AtomicBoolean();
+	private final AtomicBoolean dispatching = new AtomicBoolean();
 
-	private final AtomicBoolean pumpAgain = new AtomicBoolean();
+	private final AtomicBoolean dispatchAgain = new AtomicBoolean();
 
 	private volatile boolean closed;
 
@@ -74,15 +74,15 @@
 			.policy(builder.policy)
 			.weights(builder.weights)
 			.idempotent(builder.idempotent)
-			.held(this.shards::held)
-			.wake(this::capacityChanged);
+			.leases(this.shards::held)
+			.dispatchTrigger(this::capacityChanged);
 	}
 
 	/**
 	 * Returns a builder.
-	 * @param store where jobs are kept
-	 * @param stamps marks each write; the name of its writer is this entry's identity
-	 * @param sender hands items to sidecars
+	 * @param store the object store
+	 * @param stamps identifies each write; the name of its writer identifies this entry
+	 * @param sender sends items to sidecars
 	 * @return the builder
 	 */
 	public static Builder builder(ObjectStore store, Stamps stamps, ItemSender sender) {
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	 * Starts to take shards and to work on their jobs.
+	 * Starts to acquire shards and to run their jobs.
 	 */
 	public void start() {
 		watch();
@@ -99,9 +99,8 @@
 	}
 
 	/**
-	 * Hands over all shards: running items are called back, results are written, leases
-	 * are released.
-	 * @return completes when all is handed over
+	 * Releases all shards: recalls running items, writes results and releases the leases.
+	 * @return completes when all leases are released
 	 */
 	public CompletableFuture<Void> releaseShards() {
 		this.closed = true;
@@ -109,22 +108,23 @@
 	}
 
 	/**
-	 * Looks for shards that were released, such as when a peer says that it leaves.
+	 * Acquires shards that were released, called for instance when a peer announces that
+	 * it leaves.
 	 */
 	public void acquireFreeShards() {
 		this.shards.acquireFree();
 	}
 
 	/**
-	 * Returns the shards that this entry is in charge of.
-	 * @return their numbers
+	 * Returns the shards whose lease this entry holds.
+	 * @return the numbers of the shards
 	 */
 	public List<Integer> shards() {
 		return this.shards.held();
 	}
 
 	/**
-	 * Returns how far the jobs of this entry's shards have come.
+	 * Returns the progress of the jobs in this entry's shards.
 	 * @return a snapshot
 	 */
 	public CompletableFuture<List<JobProgress>> progress() {
@@ -138,35 +138,36 @@
 		return all;
 	}
 
-	// -- room
+	// -- dispatch
 
 	/**
-	 * Shares the sidecars' room out, after it has changed. Each owner sends a few items
-	 * in turn: without turns the owner whose item has just ended would take its place
-	 * again and again, and the jobs of other shards would not start before its own ended.
+	 * Called when sidecars may have free slots. Lets the owners send a few items each in
+	 * turn: without turns, the owner whose item has just ended would take the slot again
+	 * each time, and the jobs of other shards would not start until its own jobs have
+	 * ended.
 	 */
 	public void capacityChanged() {
-		this.pumpAgain.set(true);
-		if (this.pumping.compareAndSet(false, true)) {
-			this.serial.execute(() -> pump(0));
+		this.dispatchAgain.set(true);
+		if (this.dispatching.compareAndSet(false, true)) {
+			this.serial.execute(() -> dispatch(0));
 		}
 	}
 
-	private void pump(int idle) {
+	private void dispatch(int idle) {
 		List<ShardOwner> all = List.copyOf(this.owners.values());
 		if (idle == 0) {
-			this.pumpAgain.set(false);
+			this.dispatchAgain.set(false);
 		}
 		if (idle >= all.size()) {
-			this.pumping.set(false);
-			if (this.pumpAgain.get()) {
+			this.dispatching.set(false);
+			if (this.dispatchAgain.get()) {
 				capacityChanged();
 			}
 			return;
 		}
 		ShardOwner owner = all.get(this.turn++ % all.size());
-		owner.pumpUpTo(TURN)
-			.whenCompleteAsync((sent, failure) -> pump((failure == null && sent > 0) ? 0 : idle + 1), this.serial);
+		owner.dispatch(ITEMS_PER_TURN)
+			.whenCompleteAsync((sent, failure) -> dispatch((failure == null && sent > 0) ? 0 : idle + 1), this.serial);
 	}
 
 	// -- shards
@@ -174,7 +175,7 @@
 	@Override
 	public void acquired(int shard, Lease lease) {
 		this.builder.shardListener.acquired(shard, lease);
-		this.owners.computeIfAbsent(shard, this.ownerBuilder::build).own(lease);
+		this.owners.computeIfAbsent(shard, this.ownerBuilder::build).leaseAcquired(lease);
 	}
 
 	@Override
@@ -182,22 +183,23 @@
 		this.builder.shardListener.lost(shard, lease);
 		ShardOwner owner = this.owners.get(shard);
 		if (owner != null) {
-			owner.lapse();
+			owner.leaseLost();
 		}
 	}
 
 	@Override
 	public CompletableFuture<Void> releasing(int shard, Lease lease) {
 		ShardOwner owner = this.owners.get(shard);
-		CompletableFuture<Void> left = (owner != null) ? owner.leave() : CompletableFuture.completedFuture(null);
-		return left.thenCompose((done) -> this.builder.shardListener.releasing(shard, lease))
+		CompletableFuture<Void> released = (owner != null) ? owner.release() : CompletableFuture.completedFuture(null);
+		return released.thenCompose((done) -> this.builder.shardListener.releasing(shard, lease))
 			.whenComplete((done, failure) -> this.owners.remove(shard, owner));
 	}
 
 	// -- watch
 
-	// A watch needs a version to start from. The listing that gives it selects nothing;
-	// the owners list their own jobs once the watch stands, so that none is missed.
+	// A watch needs a version to start from. The listing that returns the version
+	// selects no job; the owners list their jobs after the watch is established, so that
+	// none is missed.
 	private void watch() {
 		Labels nothing = Labels.of(JobRecord.SHARD, "none");
 		this.builder.store.list(Kind.JOB, nothing).whenComplete((listing, failure) -> {
@@ -205,17 +207,17 @@
 				return;
 			}
 			if (failure != null) {
-				watchLater();
+				scheduleWatch();
 				return;
 			}
 			this.watch = this.builder.store.watch(Kind.JOB, Labels.of(JobRecord.STATE, JobRecord.OPEN),
-					listing.version(), this::changed, this::watchLater);
+					listing.version(), this::changed, this::scheduleWatch);
 			this.owners.values().forEach(ShardOwner::relist);
 		});
 	}
 
-	private void watchLater() {
-		this.builder.timers.schedule(WATCH_AGAIN, () -> {
+	private void scheduleWatch() {
+		this.builder.timers.schedule(WATCH_RETRY_DELAY, () -> {
 			if (!this.closed) {
 				watch();
 			}
@@ -227,13 +229,13 @@
 		String shard = job.draft().labels().values().getOrDefault(JobRecord.SHARD, "");
 		this.owners.forEach((number, owner) -> {
 			if (!event.gone() && shard.equals(Integer.toString(number))) {
-				owner.changed(job);
+				owner.jobChanged(job);
 			}
 		});
 	}
 
-	// A watch can die without a word. One would notice jobs that are accepted and do not
-	// start; so the owners also list their jobs now and then.
+	// A watch can fail silently, and jobs that were accepted would then not start. The
+	// owners therefore also list their jobs periodically.
 	private void relistLoop() {
 		this.builder.timers.schedule(this.builder.relistEvery, () -> {
 			if (!this.closed) {
@@ -244,11 +246,11 @@
 	}
 
 	/**
-	 * Builds a runner.
+	 * Builds a job runner.
 	 */
 	public static final class Builder {
 
-		private static final ShardListener NOBODY = new ShardListener() {
+		private static final ShardListener NO_LISTENER = new ShardListener() {
 
 			@Override
 			public void acquired(int shard, Lease lease) {
@@ -283,7 +285,7 @@
 
 		private Supplier<Set<String>> entries = Set::of;
 
-		private ShardListener shardListener = NOBODY;
+		private ShardListener shardListener = NO_LISTENER;
 
 		private Predicate<BatchItem> idempotent = (item) -> true;
 
@@ -304,7 +306,7 @@
 		/**
 		 * Sets the clocks and the timers.
 		 * @param ticker the monotonic clock
-		 * @param timers run what is due later
+		 * @param timers runs delayed tasks
 		 * @param clock the time of day
 		 * @return this builder
 		 */
@@ -316,7 +318,7 @@
 		}
 
 		/**
-		 * Sets how the work is gone about.
+		 * Sets the retry, checkpoint and memory limits.
 		 * @param policy the policy
 		 * @return this builder
 		 */
@@ -326,8 +328,9 @@
 		}
 
 		/**
-		 * Sets the weights of the accounts.
-		 * @param weights the weight of an account, from 1
+		 * Sets the weights of accounts.
+		 * @param weights returns the weight of an account, at least 1; 1 for each account
+		 * if not set
 		 * @return this builder
 		 */
 		public Builder weights(ToIntFunction<String> weights) {
@@ -336,8 +339,8 @@
 		}
 
 		/**
-		 * Sets where the identities of all entries that are not leaving come from.
-		 * @param entries the identities
+		 * Sets the source of the identities of all entries that are not leaving.
+		 * @param entries returns the identities
 		 * @return this builder
 		 */
 		public Builder entries(Supplier<Set<String>> entries) {
@@ -346,7 +349,7 @@
 		}
 
 		/**
-		 * Sets this entry's own identity among the entries.
+		 * Sets the identity of this entry among the entries.
 		 * @param self the identity; the name of the stamps' writer if not set
 		 * @return this builder
 		 */
@@ -356,8 +359,10 @@
 		}
 
 		/**
-		 * Sets which items may be run again, besides what their lines say.
-		 * @param idempotent tells of an item whether its service may be called twice
+		 * Sets which items are idempotent. An item whose line declares it as not
+		 * idempotent is never so.
+		 * @param idempotent returns whether the service of an item may be called more
+		 * than once; true for each item if not set
 		 * @return this builder
 		 */
 		public Builder idempotent(Predicate<BatchItem> idempotent) {
@@ -366,18 +371,19 @@
 		}
 
 		/**
-		 * Sets who else is told of shards taken and lost, such as what fences sidecars.
-		 * @param events the listener
+		 * Sets a listener that is called when a shard is acquired, lost or released, for
+		 * instance to fence sidecars.
+		 * @param listener the listener
 		 * @return this builder
 		 */
-		public Builder shardListener(ShardListener events) {
-			this.shardListener = Objects.requireNonNull(events, "events is null");
+		public Builder shardListener(ShardListener listener) {
+			this.shardListener = Objects.requireNonNull(listener, "listener is null");
 			return this;
 		}
 
 		/**
-		 * Sets over how many shards jobs are spread.
-		 * @param shards the same at all entries
+		 * Sets the number of shards.
+		 * @param shards the number of shards, the same at all entries; 1 if not set
 		 * @return this builder
 		 */
 		public Builder shards(int shards) {
@@ -386,7 +392,7 @@
 		}
 
 		/**
-		 * Sets how long a lease holds after its last write.
+		 * Sets how long a lease is valid after its last renewal.
 		 * @param period the period, 6 s if not set
 		 * @return this builder
 		 */
@@ -396,8 +402,8 @@
 		}
 
 		/**
-		 * Builds the runner.
-		 * @return a runner that is not started yet
+		 * Builds the job runner.
+		 * @return a job runner that is not started
 		 */
 		public JobRunner build() {
 			Objects.requireNonNull(this.timers, "timers is null");
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobSpec.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobSpec.java
@@ -7,20 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * What an account asks for with a job.
+ * A job as an account submits it.
  *
  * @param account the account
- * @param idempotencyKey the account's key of this job, or empty if it gave none
- * @param input the file with the items
- * @param endpoint the path that all items go to
- * @param window in which time the job is to be completed
- * @param metadata the account's own notes
+ * @param idempotencyKey the account's idempotency key, or empty if it sent none
+ * @param input the input file
+ * @param endpoint the request path of all items
+ * @param window the completion window
+ * @param metadata the key-value pairs that the account attached
  */
 public record JobSpec(String account, Optional<String> idempotencyKey, FileId input, String endpoint, Duration window,
 		Map<String, String> metadata) {
 
 	/**
-	 * Copies the notes.
+	 * Copies the metadata.
 	 */
 	public JobSpec {
 		Objects.requireNonNull(account, "account is null");
@@ -32,26 +32,28 @@
 	}
 
 	/**
-	 * Returns the job's name. Without a key the job is named by what it asks for: a
-	 * client that lost the answer sends the same again, and must not start the work
-	 * twice.
-	 * @return the name
+	 * Returns the identifier of the job. Without an idempotency key it is derived from
+	 * the content of the request: a client that lost the answer repeats the same request,
+	 * and must not start the work twice.
+	 * @return the identifier
 	 */
 	public JobId id() {
-		return JobId.of(this.account, this.idempotencyKey.map((key) -> "key:" + key).orElseGet(() -> "body:" + ask()));
+		return JobId.of(this.account,
+				this.idempotencyKey.map((key) -> "key:" + key).orElseGet(() -> "body:" + contentHash()));
 	}
 
 	/**
-	 * Returns what tells this job from another under the same key.
-	 * @param file the record of the file with the items
-	 * @return a hash of the content
+	 * Returns a hash that differs between two jobs with the same key and different
+	 * content.
+	 * @param file the record of the input file
+	 * @return the hash
 	 */
 	String fingerprint(FileRecord file) {
 		return Digests.name("spec", file.sha256(), this.endpoint, this.window.toString(),
 				new TreeMap<>(this.metadata).toString());
 	}
 
-	private String ask() {
+	private String contentHash() {
 		return Digests.name("ask", this.input.hex(), this.endpoint, this.window.toString(),
 				new TreeMap<>(this.metadata).toString());
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/JobStatus.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/JobStatus.java
@@ -1,20 +1,20 @@
 package org.ragworthook.core.job;
 
 /**
- * How far a job has come.
+ * The status of a job.
  */
 public enum JobStatus {
 
-	/** Its items are being run. */
+	/** The job's items are being run. */
 	IN_PROGRESS(false),
 
-	/** A cancel was acknowledged; running items are being stopped. */
+	/** The cancellation was acknowledged; running items are being stopped. */
 	CANCELLING(false),
 
 	/** Every item has ended. */
 	COMPLETED(true),
 
-	/** It was stopped; results that were there stay readable. */
+	/** The job was cancelled; results written before stay readable. */
 	CANCELLED(true);
 
 	private final boolean ended;
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Tells whether the status is final.
-	 * @return whether no item can start any more
+	 * Returns whether the status is final.
+	 * @return whether no item of the job can start any more
 	 */
 	public boolean ended() {
 		return this.ended;
--- a/modules/core/src/main/java/org/ragworthook/core/job/LineValidator.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/LineValidator.java
@@ -10,7 +10,7 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Checks the lines of one file, each for itself and against those before it.
+ * Validates the lines of one file, each by itself and against the lines before it.
  */
 final class LineValidator {
 
@@ -20,34 +20,34 @@
 
 	private final Set<String> models = new TreeSet<>();
 
-	private final Function<BatchItem, String> rule;
+	private final Function<BatchItem, String> itemValidator;
 
 	private String endpoint = "";
 
-	LineValidator(Function<BatchItem, String> rule) {
-		this.rule = Objects.requireNonNull(rule, "rule is null");
+	LineValidator(Function<BatchItem, String> itemValidator) {
+		this.itemValidator = Objects.requireNonNull(itemValidator, "itemValidator is null");
 	}
 
 	/**
-	 * Checks a line.
-	 * @param number its number, from 1
+	 * Validates a line.
+	 * @param number the line number, from 1
 	 * @param line the line
-	 * @throws org.ragworthook.core.error.JobException if it is broken
+	 * @throws org.ragworthook.core.error.JobException if the line is invalid
 	 */
-	void check(int number, String line) {
+	void validate(int number, String line) {
 		BatchItem item = BatchItem.parse(number, line);
 		if (!this.customIds.add(hash(item.customId()))) {
-			throw BatchItem.broken(number, "repeats the custom_id '" + item.customId() + "'", null);
+			throw BatchItem.invalidLine(number, "repeats the custom_id '" + item.customId() + "'", null);
 		}
 		if (this.endpoint.isEmpty()) {
 			this.endpoint = item.url();
 		}
 		if (!this.endpoint.equals(item.url())) {
-			throw BatchItem.broken(number, "goes to " + item.url() + ", the first to " + this.endpoint, null);
+			throw BatchItem.invalidLine(number, "goes to " + item.url() + ", the first to " + this.endpoint, null);
 		}
-		String fault = this.rule.apply(item);
+		String fault = this.itemValidator.apply(item);
 		if (!fault.isEmpty()) {
-			throw BatchItem.broken(number, fault, null);
+			throw BatchItem.invalidLine(number, fault, null);
 		}
 		if (this.models.size() < MAX_MODELS) {
 			this.models.add(item.model());
--- a/modules/core/src/main/java/org/ragworthook/core/job/LongHashSet.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/LongHashSet.java
@@ -1,29 +1,29 @@
 package org.ragworthook.core.job;
 
 /**
- * A set of 64-bit hashes in one array, 16 bytes for each at most. It tells repeated names
- * in files of 750,000 lines apart within bounded memory.
+ * A set of 64-bit hashes with open addressing, 16 to 32 bytes a hash. Detects duplicate
+ * identifiers in files of 750,000 lines within bounded memory.
  */
 final class LongHashSet {
 
-	private static final int START = 1024;
+	private static final int INITIAL_CAPACITY = 1024;
 
-	private long[] slots = new long[START];
+	private long[] slots = new long[INITIAL_CAPACITY];
 
 	private int size;
 
 	/**
 	 * Adds a hash.
 	 * @param hash the hash
-	 * @return whether it was not in the set before
+	 * @return whether the set did not contain the hash
 	 */
 	boolean add(long hash) {
-		long wanted = (hash != 0) ? hash : 1;
-		int slot = slot(this.slots, wanted);
-		if (this.slots[slot] == wanted) {
+		long entry = (hash != 0) ? hash : 1;
+		int slot = slot(this.slots, entry);
+		if (this.slots[slot] == entry) {
 			return false;
 		}
-		this.slots[slot] = wanted;
+		this.slots[slot] = entry;
 		this.size++;
 		if (this.size * 2 > this.slots.length) {
 			grow();
--- a/modules/core/src/main/java/org/ragworthook/core/job/ResultRecord.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ResultRecord.java
@@ -8,20 +8,23 @@
 import java.util.stream.Collectors;
 
 /**
- * How the items of one chunk came out: the only place in which a result shows. It is
- * written conditionally, by the owner of the shard alone, whose first write puts its own
- * epoch in.
+ * The stored results of one chunk, the only place from which results are read. It is
+ * written conditionally and only by the owner of the shard, whose first write sets its
+ * epoch.
  * <p>
- * The value is a line of JSON with the keys of {@link Head}, then one line for each
- * result. Results that would make it too large move to parts, objects of their own that
- * show only once the head names them.
+ * The stored text is a line of JSON with the keys of {@link Head}, followed by one line
+ * for each result. Results that would make the record too large are moved to part
+ * objects, which are read only if the head names them.
  *
- * @param head who owns it, and what has been started
- * @param results the results in this record, in the order in which they came
+ * @param head the owner's epoch and the state of the items
+ * @param results the results in this record, in the order in which the items ended
  */
 public record ResultRecord(Head head, List<ItemResult> results) {
 
-	/** How large a record may grow before its results move to a part, in bytes. */
+	/**
+	 * The largest size of a record, in bytes with JSON escapes; larger ones have their
+	 * results moved to a part.
+	 */
 	public static final int MAX_BYTES = 850_000;
 
 	/**
@@ -68,33 +71,33 @@
 	ResultRecord movedTo(String part) {
 		List<String> parts = new ArrayList<>(this.head.parts());
 		parts.add(part);
-		JobCounts moved = inRecord().plus(this.head.moved());
+		JobCounts moved = inlineCounts().plus(this.head.moved());
 		Head next = new Head(this.head.epoch(), this.head.items(), parts, this.head.started(), this.head.resumes(),
 				moved);
 		return new ResultRecord(next, List.of());
 	}
 
-	private JobCounts inRecord() {
+	private JobCounts inlineCounts() {
 		return this.results.stream().map((result) -> result.end().counts()).reduce(JobCounts.NONE, JobCounts::plus);
 	}
 
 	/**
-	 * Returns how the items came out so far, those in parts included.
+	 * Returns the counts of all ended items, including those whose results are in parts.
 	 * @return the counts
 	 */
 	public JobCounts counts() {
-		return inRecord().plus(this.head.moved());
+		return inlineCounts().plus(this.head.moved());
 	}
 
 	/**
-	 * Tells whether all items have ended.
-	 * @return whether nothing is left to do
+	 * Returns whether all items of the chunk have ended.
+	 * @return whether each item has a result
 	 */
 	public boolean complete() {
 		return counts().ended() >= this.head.items();
 	}
 
-	static int bytes(String text) {
+	static int escapedLength(String text) {
 		int escaped = 0;
 		for (byte unit : text.getBytes(StandardCharsets.UTF_8)) {
 			escaped += escapedBytes(unit);
@@ -103,9 +106,10 @@
 	}
 
 	/**
-	 * Returns how many bytes a byte of UTF-8 takes in a JSON text.
+	 * Returns the length of a UTF-8 byte in a JSON string.
 	 * @param unit the byte
-	 * @return 1, 2 for a character that is escaped by a backslash, 6 for one by number
+	 * @return 1; 2 for a character with a short escape such as {@code \n}; 6 for another
+	 * control character
 	 */
 	static int escapedBytes(byte unit) {
 		if (unit == '"' || unit == '\\' || unit == '\n' || unit == '\r' || unit == '\t') {
@@ -117,18 +121,20 @@
 	/**
 	 * The first line of the record.
 	 *
-	 * @param epoch the fencing number of the owner that wrote it
-	 * @param items how many items the chunk has
-	 * @param parts the names of the objects that further results were moved to
-	 * @param started the items that may run only once and have been started, by number
-	 * @param resumes what items had generated when they gave way
-	 * @param moved how the items in the parts came out
+	 * @param epoch the epoch of the owner that wrote the record
+	 * @param items the number of items of the chunk
+	 * @param parts the names of the part objects with moved results, in order
+	 * @param started the indexes of the non-idempotent items that were started and have
+	 * not ended
+	 * @param resumes the resume points of preempted items
+	 * @param moved the counts of the items whose results are in parts
 	 */
 	public record Head(long epoch, int items, List<String> parts, List<Integer> started, List<ResumePoint> resumes,
 			JobCounts moved) {
 
 		/**
-		 * Copies the lists; a part that the record lacks is empty.
+		 * Copies the lists and replaces components that are missing in the stored record
+		 * by empty ones.
 		 */
 		public Head {
 			parts = (parts != null) ? List.copyOf(parts) : List.of();
@@ -137,12 +143,12 @@
 			moved = Objects.requireNonNullElse(moved, JobCounts.NONE);
 		}
 
-		Head by(long owner) {
-			return new Head(owner, this.items, this.parts, this.started, this.resumes, this.moved);
+		Head withEpoch(long newEpoch) {
+			return new Head(newEpoch, this.items, this.parts, this.started, this.resumes, this.moved);
 		}
 
-		Head with(List<Integer> nowStarted, List<ResumePoint> nowResumes) {
-			return new Head(this.epoch, this.items, this.parts, nowStarted, nowResumes, this.moved);
+		Head withItems(List<Integer> newStarted, List<ResumePoint> newResumes) {
+			return new Head(this.epoch, this.items, this.parts, newStarted, newResumes, this.moved);
 		}
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/SerialExecutor.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/SerialExecutor.java
@@ -8,8 +8,8 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * Runs tasks one after another, in the threads of those who hand them in. A task that is
- * handed in while another runs waits for it without holding up its thread.
+ * Runs tasks one after another on the threads that submit them. A task that is submitted
+ * while another one runs is queued, without blocking the submitting thread.
  */
 public final class SerialExecutor implements Executor {
 
@@ -31,9 +31,8 @@
 		while (this.waiting.decrementAndGet() != 0);
 	}
 
-	// Were an error let through, the tasks behind would never run and the shard would
-	// stand
-	// still; it goes to the thread's handler instead.
+	// An exception that escaped would leave the queued tasks unrun and stop the shard,
+	// so exceptions are logged.
 	private static void run(Runnable task) {
 		try {
 			task.run();
--- a/modules/core/src/main/java/org/ragworthook/core/job/ShardOwner.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/ShardOwner.java
@@ -26,18 +26,17 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Works on the jobs of one shard, as long as this entry holds its lease. Chooses which
- * item is next; {@link ItemRunner} runs items and {@link JobRecordWriter} keeps the
- * records.
+ * Runs the jobs of one shard while this entry holds the shard's lease. Chooses the next
+ * item; {@link ItemRunner} runs items and {@link JobRecordWriter} writes job records.
  * <p>
- * All state can be read back from the platform: an owner that takes over lists the open
- * jobs of the shard and claims their chunks one after another.
+ * All state can be recovered from the object store: an owner that takes over lists the
+ * open jobs of the shard and claims their chunks one after another.
  */
 public final class ShardOwner {
 
-	private static final Duration RETRY = Duration.ofSeconds(1);
+	private static final Duration STORE_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final long PACE_EVERY = Duration.ofSeconds(1).toNanos();
+	private static final long RATE_UPDATE_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private final Builder builder;
 
@@ -45,15 +44,15 @@
 
 	private final SerialExecutor serial = new SerialExecutor();
 
-	private final ChunkClaimer claims;
+	private final ChunkClaimer claimer;
 
-	private final ItemRunner runs;
+	private final ItemRunner itemRunner;
 
-	private final JobRecordWriter records;
+	private final JobRecordWriter recordWriter;
 
-	private final StrideScheduler shares;
+	private final StrideScheduler scheduler;
 
-	private final ItemRate pace = new ItemRate();
+	private final ItemRate itemRate = new ItemRate();
 
 	private final Map<JobId, JobRun> jobs = new HashMap<>();
 
@@ -65,36 +64,37 @@
 
 	private boolean loaded;
 
-	private long paceNanos;
+	private long lastRateUpdateNanos;
 
 	private ShardOwner(Builder builder, int shard) {
 		this.builder = builder;
 		this.shard = shard;
 		ConditionalWriter writer = ConditionalWriter.of(builder.store, builder.stamps);
-		this.claims = new ChunkClaimer(builder.store, writer, builder.idempotent);
-		this.shares = new StrideScheduler(builder.weights);
-		this.runs = new ItemRunner(this, builder, new ChunkWriter(builder.store, writer));
-		this.records = new JobRecordWriter(this, builder, writer);
+		this.claimer = new ChunkClaimer(builder.store, writer, builder.idempotent);
+		this.scheduler = new StrideScheduler(builder.weights);
+		this.itemRunner = new ItemRunner(this, builder, new ChunkWriter(builder.store, writer));
+		this.recordWriter = new JobRecordWriter(this, builder, writer);
 	}
 
 	/**
-	 * Returns a builder of owners.
-	 * @param store where jobs are kept
-	 * @param stamps marks each write
-	 * @param sender hands items to sidecars
+	 * Returns a builder.
+	 * @param store the object store
+	 * @param stamps identifies each write
+	 * @param sender sends items to sidecars
 	 * @return the builder
 	 */
 	public static Builder builder(ObjectStore store, Stamps stamps, ItemSender sender) {
 		return new Builder(store, stamps, sender);
 	}
 
-	// -- in charge or not
+	// -- lease
 
 	/**
-	 * Begins work, or goes on with it after the lease had lapsed and nobody took it over.
+	 * Called when the lease was acquired. Continues with the state in memory if the epoch
+	 * is the same as before, that is if the lease expired and no other entry acquired it.
 	 * @param lease the lease
 	 */
-	public void own(Lease lease) {
+	public void leaseAcquired(Lease lease) {
 		this.serial.execute(() -> {
 			if (lease.epoch() != this.epoch) {
 				this.jobs.values().forEach(JobRun::close);
@@ -108,37 +108,41 @@
 	}
 
 	/**
-	 * Stops to send items, because the lease has lapsed. Results that come are still
-	 * written; whether they count is for the conditional write to decide.
+	 * Called when the lease expired. Stops sending items. Results of running items are
+	 * still written; the conditional write rejects them if another owner has claimed the
+	 * chunk.
 	 */
-	public void lapse() {
+	public void leaseLost() {
 		this.serial.execute(() -> this.active = false);
 	}
 
 	/**
-	 * Brings the shard's work to a point from which another can go on: running items are
-	 * called back, but for those that may run only once, which are waited for; results
-	 * are written.
+	 * Prepares the release of the lease: recalls running items, except those of jobs with
+	 * a running non-idempotent item, which are waited for, and writes results. Waits no
+	 * longer than the policy's grace period.
 	 * @return completes when the lease may be released
 	 */
-	public CompletableFuture<Void> leave() {
-		CompletableFuture<Void> left = new CompletableFuture<>();
+	public CompletableFuture<Void> release() {
+		CompletableFuture<Void> released = new CompletableFuture<>();
 		this.serial.execute(() -> {
 			this.active = false;
-			this.jobs.values().stream().filter((job) -> !this.runs.runsOnce(job)).forEach(this.runs::recall);
-			this.runs.whenQuiet(this::quiet, left);
-			this.builder.timers.schedule(this.builder.policy.grace(), () -> left.complete(null));
+			this.jobs.values()
+				.stream()
+				.filter((job) -> !this.itemRunner.hasRunningNonIdempotent(job))
+				.forEach(this.itemRunner::recall);
+			this.itemRunner.whenIdle(this::idle, released);
+			this.builder.timers.schedule(this.builder.policy.gracePeriod(), () -> released.complete(null));
 		});
-		return left;
+		return released;
 	}
 
-	private boolean quiet() {
-		this.runs.flushAll(this.jobs.values());
+	private boolean idle() {
+		this.itemRunner.flushAll(this.jobs.values());
 		return this.jobs.values().stream().noneMatch(JobRun::busy);
 	}
 
 	/**
-	 * Reads the open jobs of the shard again, in place of a watch.
+	 * Lists the open jobs of the shard again, in case the watch missed a change.
 	 */
 	public void relist() {
 		this.serial.execute(this::load);
@@ -156,27 +160,27 @@
 				return;
 			}
 			if (failure != null) {
-				later(RETRY, this::load);
+				schedule(STORE_RETRY_DELAY, this::load);
 				return;
 			}
 			this.loaded = true;
-			listing.objects().forEach(this::take);
-			wake();
+			listing.objects().forEach(this::apply);
+			requestDispatch();
 		}, this.serial);
 	}
 
 	/**
-	 * Takes note of a job's record, as a watch reports it.
+	 * Called when the watch reports a changed job record.
 	 * @param stored the record
 	 */
-	public void changed(Stored stored) {
+	public void jobChanged(Stored stored) {
 		this.serial.execute(() -> {
-			take(stored);
-			wake();
+			apply(stored);
+			requestDispatch();
 		});
 	}
 
-	private void take(Stored stored) {
+	private void apply(Stored stored) {
 		JobRecord record = JobRecord.parse(stored.text());
 		JobRun job = this.jobs.get(record.id());
 		if (record.shard() != this.shard || !this.active) {
@@ -186,14 +190,14 @@
 			if (!record.status().ended()) {
 				job = new JobRun(stored, record);
 				this.jobs.put(job.id(), job);
-				this.shares.keep(accounts());
+				this.scheduler.retain(accounts());
 			}
 		}
 		else if (stored.version() > job.stored().version() && !job.writing()) {
-			job.adopt(stored, record);
+			job.update(stored, record);
 		}
 		if (job != null) {
-			this.records.check(job);
+			this.recordWriter.check(job);
 		}
 	}
 
@@ -201,89 +205,89 @@
 		return this.jobs.values().stream().map((job) -> job.record().account()).toList();
 	}
 
-	// -- choice of items
+	// -- scheduling
 
 	/**
-	 * Sends items, as many as sidecars have room for.
-	 * @param most how many at most
-	 * @return how many were sent
+	 * Sends ready items while sidecars have free slots.
+	 * @param max the most items to send
+	 * @return the number of items sent
 	 */
-	public CompletableFuture<Integer> pumpUpTo(int most) {
+	public CompletableFuture<Integer> dispatch(int max) {
 		CompletableFuture<Integer> sent = new CompletableFuture<>();
-		this.serial.execute(() -> sent.complete(pump(most)));
+		this.serial.execute(() -> sent.complete(dispatchNow(max)));
 		return sent;
 	}
 
-	void wake() {
-		if (this.builder.wake.isPresent()) {
-			this.builder.wake.get().run();
+	void requestDispatch() {
+		if (this.builder.dispatchTrigger.isPresent()) {
+			this.builder.dispatchTrigger.get().run();
 		}
 		else {
-			pump(Integer.MAX_VALUE);
+			dispatchNow(Integer.MAX_VALUE);
 		}
 	}
 
-	private int pump(int most) {
-		if (!mayAct()) {
+	private int dispatchNow(int max) {
+		if (!leaseHeld()) {
 			return 0;
 		}
-		updatePace();
+		updateExpectedEnds();
 		int sent = 0;
-		while (sent < most) {
-			Optional<JobRun> job = best((candidate) -> candidate.hasReady(this::freeSlots));
+		while (sent < max) {
+			Optional<JobRun> job = nextJob((candidate) -> candidate.hasReady(this::freeSlots));
 			if (job.isEmpty()) {
 				break;
 			}
-			this.runs.startNext(job.get(), this::freeSlots);
-			this.shares.sent(job.get().record().account(), job.get().urgency());
+			this.itemRunner.startNext(job.get(), this::freeSlots);
+			this.scheduler.sent(job.get().record().account(), job.get().urgency());
 			sent++;
 		}
 		openChunks();
 		return sent;
 	}
 
-	// The belief in the lease is asked for again before each round: a thread may have
-	// been halted since the last.
-	private boolean mayAct() {
+	// The lease is checked before each round, since the thread may have been paused
+	// since the last check.
+	private boolean leaseHeld() {
 		return this.active
-				&& this.builder.held.apply(this.shard).filter((now) -> now.epoch() == this.epoch).isPresent();
+				&& this.builder.leases.apply(this.shard).filter((lease) -> lease.epoch() == this.epoch).isPresent();
 	}
 
 	private int freeSlots(String route) {
-		return this.builder.sender.freeSlots(route) - this.runs.startingOn(this.jobs.values(), route);
+		return this.builder.sender.freeSlots(route) - this.itemRunner.startingCount(this.jobs.values(), route);
 	}
 
-	private Optional<JobRun> best(Predicate<JobRun> candidates) {
+	private Optional<JobRun> nextJob(Predicate<JobRun> candidates) {
 		return this.jobs.values()
 			.stream()
 			.filter((job) -> !job.cancelling() && !job.closed())
 			.filter(candidates)
-			.min(Comparator.comparingDouble((JobRun job) -> this.shares.pass(job.record().account()))
+			.min(Comparator.comparingDouble((JobRun job) -> this.scheduler.pass(job.record().account()))
 				.thenComparingLong((job) -> job.record().dueMillis())
 				.thenComparing((job) -> job.record().hex()));
 	}
 
-	private void updatePace() {
+	private void updateExpectedEnds() {
 		long nanos = this.builder.ticker.nanos();
-		double perSecond = this.pace.perSecond(nanos);
-		if (perSecond <= 0 || nanos - this.paceNanos < PACE_EVERY) {
+		double perSecond = this.itemRate.perSecond(nanos);
+		if (perSecond <= 0 || nanos - this.lastRateUpdateNanos < RATE_UPDATE_NANOS) {
 			return;
 		}
-		this.paceNanos = nanos;
+		this.lastRateUpdateNanos = nanos;
 		long now = this.builder.clock.millis();
 		List<JobRun> byDue = new ArrayList<>(this.jobs.values());
 		byDue.sort(Comparator.comparingLong((job) -> job.record().dueMillis()));
-		long before = 0;
+		long itemsBefore = 0;
 		for (JobRun job : byDue) {
-			before += job.remaining();
-			job.pace(now, now + Math.round(before * 1000 / perSecond));
+			itemsBefore += job.remaining();
+			job.expectEnd(now, now + Math.round(itemsBefore * 1000 / perSecond));
 		}
 	}
 
 	private void openChunks() {
 		int open = this.jobs.values().stream().mapToInt(JobRun::openCount).sum();
-		while (open < this.builder.policy.openChunks()) {
-			Optional<JobRun> job = best(this::mayOpen);
+		while (open < this.builder.policy.maxOpenChunks()) {
+			Optional<JobRun> job = nextJob(this::canOpenChunk);
 			if (job.isEmpty()) {
 				return;
 			}
@@ -292,22 +296,23 @@
 		}
 	}
 
-	private boolean mayOpen(JobRun job) {
+	private boolean canOpenChunk(JobRun job) {
 		OptionalInt next = job.nextChunk();
-		if (next.isEmpty() || job.openCount() >= this.builder.policy.openPerJob()
-				|| job.readyCount() >= this.builder.policy.readyItems() || !job.served(this.builder.sender::serves)) {
+		if (next.isEmpty() || job.openCount() >= this.builder.policy.maxOpenChunksPerJob()
+				|| job.readyCount() >= this.builder.policy.readyItemsPerJob()
+				|| !job.served(this.builder.sender::serves)) {
 			return false;
 		}
 		boolean reserved = next.getAsInt() < job.record().reserved();
 		if (!reserved) {
-			this.records.progress(job);
+			this.recordWriter.progress(job);
 		}
 		return reserved;
 	}
 
 	void open(JobRun job, int number) {
 		job.opening(number);
-		this.claims.claim(job.record(), number, this.epoch).whenCompleteAsync((claimed, failure) -> {
+		this.claimer.claim(job.record(), number, this.epoch).whenCompleteAsync((claimed, failure) -> {
 			if (job.closed()) {
 				return;
 			}
@@ -316,30 +321,30 @@
 				return;
 			}
 			if (StoreRetry.conflict(failure)) {
-				drop(job);
+				dropJob(job);
 				return;
 			}
-			later(RETRY, () -> {
-				job.notOpened(number);
-				this.records.check(job);
-				wake();
+			schedule(STORE_RETRY_DELAY, () -> {
+				job.openFailed(number);
+				this.recordWriter.check(job);
+				requestDispatch();
 			});
 		}, this.serial);
 	}
 
 	private void opened(JobRun job, int number, ChunkClaimer.Claimed claimed) {
 		job.opened(number);
-		if (claimed.finished().isPresent()) {
-			job.chunkDone(number, claimed.finished().get());
+		if (claimed.finalCounts().isPresent()) {
+			job.chunkDone(number, claimed.finalCounts().get());
 		}
 		else {
 			job.add(new ChunkRun(job, number, claimed));
 		}
-		this.records.check(job);
-		wake();
+		this.recordWriter.check(job);
+		requestDispatch();
 	}
 
-	// -- for the parts of this owner
+	// -- callbacks of the collaborators
 
 	long epoch() {
 		return this.epoch;
@@ -354,49 +359,49 @@
 	}
 
 	boolean mayStart(JobRun job) {
-		return mayAct() && !job.cancelling() && !job.closed();
+		return leaseHeld() && !job.cancelling() && !job.closed();
 	}
 
-	void later(Duration delay, Runnable task) {
+	void schedule(Duration delay, Runnable task) {
 		this.builder.timers.schedule(delay, () -> this.serial.execute(task));
 	}
 
 	void itemEnded() {
-		this.pace.mark(this.builder.ticker.nanos());
+		this.itemRate.itemEnded(this.builder.ticker.nanos());
 	}
 
 	void cancelItems(JobRun job) {
-		this.runs.cancel(job);
+		this.itemRunner.cancel(job);
 	}
 
-	void endOpenItems(ChunkRun chunk) {
-		this.runs.endOpen(chunk);
+	void cancelUnfinished(ChunkRun chunk) {
+		this.itemRunner.cancelUnfinished(chunk);
 	}
 
-	void chunkSettled(ChunkRun chunk) {
+	void chunkComplete(ChunkRun chunk) {
 		chunk.close();
 		chunk.job().chunkDone(chunk.number(), chunk.written().counts());
-		this.records.check(chunk.job());
+		this.recordWriter.check(chunk.job());
 	}
 
-	// Another owner has written: this one was deposed and does not know it yet, or the
-	// job was ended. Its records say what holds; they are read when the lease is held.
-	void drop(JobRun job) {
+	// Another owner has written: this one has lost the lease without knowing yet, or the
+	// job has ended. The jobs are listed again while the lease is held.
+	void dropJob(JobRun job) {
 		job.close();
 		this.jobs.remove(job.id(), job);
-		this.shares.keep(accounts());
-		later(RETRY, this::load);
+		this.scheduler.retain(accounts());
+		schedule(STORE_RETRY_DELAY, this::load);
 	}
 
-	void ended(JobRun job) {
+	void jobEnded(JobRun job) {
 		job.close();
 		this.jobs.remove(job.id(), job);
-		this.shares.keep(accounts());
+		this.scheduler.retain(accounts());
 	}
 
 	/**
-	 * Returns the jobs that this owner works on.
-	 * @return a snapshot of their progress
+	 * Returns the progress of the jobs of this shard.
+	 * @return a snapshot
 	 */
 	public CompletableFuture<List<JobProgress>> progress() {
 		CompletableFuture<List<JobProgress>> progress = new CompletableFuture<>();
@@ -409,7 +414,7 @@
 	}
 
 	/**
-	 * Builds owners that share all but their shard.
+	 * Builds shard owners that differ only in their shard.
 	 */
 	public static final class Builder {
 
@@ -429,9 +434,9 @@
 
 		ToIntFunction<String> weights = (account) -> 1;
 
-		Function<Integer, Optional<Lease>> held;
+		Function<Integer, Optional<Lease>> leases;
 
-		Optional<Runnable> wake = Optional.empty();
+		Optional<Runnable> dispatchTrigger = Optional.empty();
 
 		Predicate<BatchItem> idempotent = (item) -> true;
 
@@ -444,7 +449,7 @@
 		/**
 		 * Sets the clocks and the timers.
 		 * @param ticker the monotonic clock
-		 * @param timers run what is due later
+		 * @param timers runs delayed tasks
 		 * @param clock the time of day
 		 * @return this builder
 		 */
@@ -456,7 +461,7 @@
 		}
 
 		/**
-		 * Sets how the work is gone about.
+		 * Sets the retry, checkpoint and memory limits.
 		 * @param policy the policy
 		 * @return this builder
 		 */
@@ -466,8 +471,9 @@
 		}
 
 		/**
-		 * Sets the weights of the accounts.
-		 * @param weights the weight of an account, from 1
+		 * Sets the weights of accounts.
+		 * @param weights returns the weight of an account, at least 1; 1 for each account
+		 * if not set
 		 * @return this builder
 		 */
 		public Builder weights(ToIntFunction<String> weights) {
@@ -476,18 +482,21 @@
 		}
 
 		/**
-		 * Sets where to ask whether a shard's lease is held.
-		 * @param held the lease of a shard, as long as it may be believed in
+		 * Sets the source of the leases that this entry holds.
+		 * @param leases returns the lease of a shard, or empty if it is not held or may
+		 * have expired
 		 * @return this builder
 		 */
-		public Builder held(Function<Integer, Optional<Lease>> held) {
-			this.held = Objects.requireNonNull(held, "held is null");
+		public Builder leases(Function<Integer, Optional<Lease>> leases) {
+			this.leases = Objects.requireNonNull(leases, "leases is null");
 			return this;
 		}
 
 		/**
-		 * Sets which items may be run again, besides what their lines say.
-		 * @param idempotent tells of an item whether its service may be called twice
+		 * Sets which items are idempotent. An item whose line declares it as not
+		 * idempotent is never so.
+		 * @param idempotent returns whether the service of an item may be called more
+		 * than once; true for each item if not set
 		 * @return this builder
 		 */
 		public Builder idempotent(Predicate<BatchItem> idempotent) {
@@ -496,24 +505,25 @@
 		}
 
 		/**
-		 * Sets who is told that items could be sent, so that it shares room out over the
-		 * owners of several shards. Without it each owner sends what it can.
-		 * @param wake calls {@link ShardOwner#pumpUpTo} soon
+		 * Sets a callback that is called when items may be sent, so that free slots are
+		 * shared among the owners of several shards. Without it each owner sends as many
+		 * items as there are free slots.
+		 * @param dispatchTrigger schedules a call of {@link ShardOwner#dispatch}
 		 * @return this builder
 		 */
-		public Builder wake(Runnable wake) {
-			this.wake = Optional.of(wake);
+		public Builder dispatchTrigger(Runnable dispatchTrigger) {
+			this.dispatchTrigger = Optional.of(dispatchTrigger);
 			return this;
 		}
 
 		/**
-		 * Builds an owner.
-		 * @param shard its shard
-		 * @return an owner that has no lease yet
+		 * Builds a shard owner.
+		 * @param shard the number of the shard
+		 * @return an owner without a lease
 		 */
 		public ShardOwner build(int shard) {
 			Objects.requireNonNull(this.timers, "timers is null");
-			Objects.requireNonNull(this.held, "held is null");
+			Objects.requireNonNull(this.leases, "leases is null");
 			return new ShardOwner(this, shard);
 		}
 
--- a/modules/core/src/main/java/org/ragworthook/core/job/StoreRetry.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/StoreRetry.java
@@ -10,15 +10,16 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Repeats calls that the platform refused for the moment, a few times with back-off.
+ * Retries calls that the object store rejected as unavailable or rate-limited, with
+ * exponential backoff.
  */
 final class StoreRetry {
 
-	private static final int TRIES = 4;
+	private static final int MAX_ATTEMPTS = 4;
 
-	private static final Duration FIRST = Duration.ofMillis(100);
+	private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
-	private static final int FACTOR = 4;
+	private static final int BACKOFF_FACTOR = 4;
 
 	private final Timers timers;
 
@@ -28,34 +29,34 @@
 
 	/**
 	 * Makes a call.
-	 * @param <T> what the call returns
-	 * @param call makes the call once
-	 * @return the result of the first try that was not refused, or the last failure
+	 * @param <T> the type of the result
+	 * @param call makes one attempt
+	 * @return the result of the first attempt that was not rejected, or the last failure
 	 */
 	<T> CompletableFuture<T> call(Supplier<CompletableFuture<T>> call) {
-		return attempt(call, TRIES, FIRST);
+		return attempt(call, MAX_ATTEMPTS, INITIAL_BACKOFF);
 	}
 
-	private <T> CompletableFuture<T> attempt(Supplier<CompletableFuture<T>> call, int tries, Duration pause) {
+	private <T> CompletableFuture<T> attempt(Supplier<CompletableFuture<T>> call, int attemptsLeft, Duration backoff) {
 		return call.get().handle((value, failure) -> {
 			if (failure == null) {
 				return CompletableFuture.completedFuture(value);
 			}
-			if (tries <= 1 || !passing(failure)) {
+			if (attemptsLeft <= 1 || !transientFailure(failure)) {
 				return CompletableFuture.<T>failedFuture(failure);
 			}
 			CompletableFuture<Void> waited = new CompletableFuture<>();
-			this.timers.schedule(pause, () -> waited.complete(null));
-			return waited.thenCompose((done) -> attempt(call, tries - 1, pause.multipliedBy(FACTOR)));
+			this.timers.schedule(backoff, () -> waited.complete(null));
+			return waited.thenCompose((done) -> attempt(call, attemptsLeft - 1, backoff.multipliedBy(BACKOFF_FACTOR)));
 		}).thenCompose((settled) -> settled);
 	}
 
 	/**
-	 * Tells whether a failure may pass by itself and had no effect.
-	 * @param failure what a future of the store failed with
-	 * @return whether the call may be made again
+	 * Returns whether a failure is transient and the call had no effect.
+	 * @param failure the failure of a call to the object store
+	 * @return whether the call may be repeated
 	 */
-	static boolean passing(Throwable failure) {
+	static boolean transientFailure(Throwable failure) {
 		return ConditionalWriter.codeOf(failure)
 			.filter((code) -> code == ErrorCode.STORE_UNAVAILABLE || code == ErrorCode.STORE_RATE_LIMITED)
 			.isPresent();
@@ -66,11 +67,11 @@
 	}
 
 	/**
-	 * Tells whether the object must be read again to know what became of a write.
-	 * @param failure what a future of the store failed with
-	 * @return whether another write came first, or may have
+	 * Returns whether the object must be read again to learn whether a write took effect.
+	 * @param failure the failure of a call to the object store
+	 * @return whether the write conflicted with another one or its outcome is unknown
 	 */
-	static boolean undecided(Throwable failure) {
+	static boolean conflictOrUnknown(Throwable failure) {
 		return conflict(failure) || ConditionalWriter.codeOf(failure)
 			.filter((code) -> code == ErrorCode.STORE_OUTCOME_UNKNOWN)
 			.isPresent();
--- a/modules/core/src/main/java/org/ragworthook/core/job/StrideScheduler.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/StrideScheduler.java
@@ -7,8 +7,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Shares items out over accounts by their weights: stride scheduling, in which each item
- * moves its account back by the inverse of its weight.
+ * Shares the items sent among accounts in proportion to their weights, by stride
+ * scheduling: each item sent raises the pass of its account by the inverse of the
+ * account's weight.
  */
 final class StrideScheduler {
 
@@ -21,29 +22,29 @@
 	}
 
 	/**
-	 * Keeps only accounts with jobs. One that comes anew starts level with the first, so
-	 * that it cannot claim the time in which it had no jobs.
+	 * Removes accounts without jobs. A new account starts at the lowest pass of the
+	 * others, so that it gets no credit for the time in which it had no jobs.
 	 * @param accounts the accounts that have jobs
 	 */
-	void keep(Collection<String> accounts) {
+	void retain(Collection<String> accounts) {
 		this.passes.keySet().retainAll(accounts);
 		double first = this.passes.values().stream().mapToDouble(Double::doubleValue).min().orElse(0);
 		accounts.forEach((account) -> this.passes.putIfAbsent(account, first));
 	}
 
 	/**
-	 * Returns how far an account has come.
+	 * Returns the pass of an account. The account with the lowest pass is served next.
 	 * @param account the account
-	 * @return its pass; the lowest is next
+	 * @return the pass
 	 */
 	double pass(String account) {
 		return this.passes.getOrDefault(account, 0.0);
 	}
 
 	/**
-	 * Notes that an item of an account was sent.
+	 * Called when an item of an account was sent.
 	 * @param account the account
-	 * @param urgency the factor of the job's share
+	 * @param urgency the urgency of the job, a factor of the account's weight
 	 */
 	void sent(String account, double urgency) {
 		double stride = 1 / (Math.max(1, this.weights.applyAsInt(account)) * urgency);
--- a/modules/core/src/main/java/org/ragworthook/core/job/Upload.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/Upload.java
@@ -18,13 +18,13 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * One try at an upload. Pieces are handed in one after another, the next when the future
- * of the one before is complete; so no more is in memory than one chunk being filled and
- * a few that are being stored.
+ * One attempt at an upload. The content is written piece by piece, each when the future
+ * of the previous write has completed, so that memory holds no more than one chunk being
+ * filled and a few being stored.
  */
 public final class Upload {
 
-	private static final int IN_FLIGHT = 2;
+	private static final int MAX_IN_FLIGHT = 2;
 
 	private final ConditionalWriter writer;
 
@@ -32,13 +32,13 @@
 
 	private final StoreRetry retry;
 
-	private final Stored begun;
+	private final Stored recordObject;
 
 	private final FileRecord record;
 
 	private final ChunkPacker packer;
 
-	private final LineValidator checks;
+	private final LineValidator validator;
 
 	private final MessageDigest digest = DigestUtils.getSha256Digest();
 
@@ -48,45 +48,45 @@
 
 	private long bytes;
 
-	Upload(FileIntake intake, Stored begun, FileRecord record) {
+	Upload(FileIntake intake, Stored recordObject, FileRecord record) {
 		this.writer = intake.writer();
 		this.store = intake.store();
 		this.retry = intake.retry();
-		this.begun = begun;
+		this.recordObject = recordObject;
 		this.record = record;
-		this.checks = new LineValidator(intake.itemValidator());
-		this.packer = new ChunkPacker(this.checks);
+		this.validator = new LineValidator(intake.itemValidator());
+		this.packer = new ChunkPacker(this.validator);
 	}
 
 	/**
-	 * Takes a piece of the file.
-	 * @param piece the bytes, wherever they were cut
-	 * @return completes when the next piece may come; fails if a line is broken or a
-	 * chunk could not be stored, after which the upload is to be aborted
+	 * Writes the next bytes of the file.
+	 * @param data the bytes; lines may be split at any byte
+	 * @return completes when the next bytes may be written; fails if a line is invalid or
+	 * a chunk could not be stored, after which the upload is to be aborted
 	 */
-	public CompletableFuture<Void> write(byte[] piece) {
-		this.digest.update(piece);
-		this.bytes += piece.length;
+	public CompletableFuture<Void> write(byte[] data) {
+		this.digest.update(data);
+		this.bytes += data.length;
 		try {
 			if (!this.record.ready()) {
-				this.packer.take(piece, this::put);
+				this.packer.write(data, this::storeChunk);
 			}
 		}
 		catch (JobException ex) {
 			return CompletableFuture.failedFuture(ex);
 		}
-		return settle(IN_FLIGHT);
+		return awaitInFlight(MAX_IN_FLIGHT);
 	}
 
-	private void put(String chunk) {
+	private void storeChunk(String chunk) {
 		ObjectKey key = FileRecord.chunkKey(this.record.input(), this.chunks++);
 		CompletableFuture<Stored> put = this.retry.call(() -> this.writer.create(key, chunk, Labels.empty()));
 		this.inFlight.add(put);
 	}
 
-	private CompletableFuture<Void> settle(int left) {
+	private CompletableFuture<Void> awaitInFlight(int maxLeft) {
 		CompletableFuture<Void> settled = CompletableFuture.completedFuture(null);
-		while (this.inFlight.size() > left) {
+		while (this.inFlight.size() > maxLeft) {
 			CompletableFuture<Stored> oldest = this.inFlight.poll();
 			settled = settled.thenCompose((before) -> oldest.thenAccept((stored) -> {
 			}));
@@ -100,17 +100,18 @@
 	}
 
 	/**
-	 * Ends the file. Nothing of it is to be seen before.
-	 * @return the file's record; fails if something could not be stored or if the file
-	 * was sent before with other content
+	 * Completes the upload. The file is not visible before.
+	 * @return the record of the file; fails if a line is invalid, if the file has no
+	 * lines, if a chunk or the record could not be stored, or if the file was uploaded
+	 * before with other content
 	 */
 	public CompletableFuture<FileRecord> complete() {
 		if (this.record.ready()) {
-			return same();
+			return matchExisting();
 		}
 		try {
-			this.packer.end().ifPresent(this::put);
-			this.packer.last().ifPresent(this::put);
+			this.packer.endStream().ifPresent(this::storeChunk);
+			this.packer.flush().ifPresent(this::storeChunk);
 			if (this.packer.items() == 0) {
 				throw new JobException(ErrorCode.JOB_BROKEN_LINE, "the file has no lines");
 			}
@@ -118,20 +119,21 @@
 		catch (JobException ex) {
 			return CompletableFuture.failedFuture(ex);
 		}
-		UploadSummary size = new UploadSummary(this.chunks, this.packer.items(), this.bytes, hash(),
-				this.checks.models(), this.checks.endpoint());
-		FileRecord ready = this.record.stored(size);
-		return settle(0).thenCompose((done) -> this.retry.call(() -> this.writer.update(this.begun, ready.text())))
+		UploadSummary summary = new UploadSummary(this.chunks, this.packer.items(), this.bytes, sha256(),
+				this.validator.models(), this.validator.endpoint());
+		FileRecord ready = this.record.stored(summary);
+		return awaitInFlight(0)
+			.thenCompose((done) -> this.retry.call(() -> this.writer.update(this.recordObject, ready.text())))
 			.thenApply((stored) -> ready)
-			.exceptionallyCompose((failure) -> StoreRetry.undecided(failure) ? settled(ready, failure)
+			.exceptionallyCompose((failure) -> StoreRetry.conflictOrUnknown(failure) ? confirmWrite(ready, failure)
 					: CompletableFuture.failedFuture(failure))
 			.exceptionally((failure) -> {
 				throw refused(failure);
 			});
 	}
 
-	private CompletableFuture<FileRecord> settled(FileRecord ready, Throwable failure) {
-		return this.store.read(this.begun.key()).thenApply((found) -> {
+	private CompletableFuture<FileRecord> confirmWrite(FileRecord ready, Throwable failure) {
+		return this.store.read(this.recordObject.key()).thenApply((found) -> {
 			if (found.map(Stored::text).filter(ready.text()::equals).isEmpty()) {
 				throw refused(failure);
 			}
@@ -139,27 +141,28 @@
 		});
 	}
 
-	private CompletableFuture<FileRecord> same() {
-		if (hash().equals(this.record.sha256())) {
+	private CompletableFuture<FileRecord> matchExisting() {
+		if (sha256().equals(this.record.sha256())) {
 			return CompletableFuture.completedFuture(this.record);
 		}
 		return CompletableFuture.failedFuture(new JobException(ErrorCode.FILE_KEY_REUSED,
 				this.record.id() + " was uploaded under this key with other content"));
 	}
 
-	private String hash() {
+	private String sha256() {
 		return Hex.encodeHexString(this.digest.digest());
 	}
 
 	/**
-	 * Removes what was stored so far. What cannot be removed now is collected later.
-	 * @return completes when it was tried
+	 * Deletes the chunks stored so far. Chunks that cannot be deleted now are
+	 * garbage-collected later.
+	 * @return completes when the deletion was attempted; does not fail
 	 */
 	public CompletableFuture<Void> abort() {
 		if (this.record.ready()) {
 			return CompletableFuture.completedFuture(null);
 		}
-		return settle(0).exceptionally((failure) -> null)
+		return awaitInFlight(0).exceptionally((failure) -> null)
 			.thenCompose((done) -> ChunkDeletion.delete(this.store, this.record.input(), this.chunks))
 			.exceptionally((failure) -> null);
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/job/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/job/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Batch jobs: accepted means completed exactly once. A file's lines are stored in chunks
- * before its record, a job's record is created by one conditional write, the items of a
- * chunk end in the chunk's result record, and a job ends by one conditional write. All
- * records are kept at the platform; owners of shards hold nothing that could not be read
- * back.
+ * Batch jobs, each item of which ends exactly once. An upload stores the lines of a file
+ * in chunks and then updates the file's record; a job is created by one conditional write
+ * of its record; the items of a chunk end in the chunk's result record; and a job ends by
+ * one conditional write. All state is kept in the object store, so that an entry that
+ * takes over a shard can recover it.
  */
 package org.ragworthook.core.job;
--- a/modules/core/src/test/java/org/ragworthook/core/job/FakeSidecars.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/FakeSidecars.java
@@ -10,8 +10,8 @@
 import java.util.function.Function;
 
 /**
- * A model of all sidecars together: they hold a bounded number of items, refuse older
- * epochs and cancelled jobs, and count what they start.
+ * A model of all sidecars together: they run a bounded number of items, reject lower
+ * epochs and cancelled jobs, and count the attempts that they start.
  */
 final class FakeSidecars {
 
@@ -25,7 +25,7 @@
 
 	private final Set<JobId> cancelled = new HashSet<>();
 
-	private final Set<String> dead = new HashSet<>();
+	private final Set<String> disconnected = new HashSet<>();
 
 	private final int capacity;
 
@@ -40,9 +40,9 @@
 	}
 
 	/**
-	 * Returns the way of one entry to the sidecars.
-	 * @param entry the entry's name
-	 * @return a sender
+	 * Returns the sender of one entry.
+	 * @param entry the name of the entry
+	 * @return the sender
 	 */
 	ItemSender of(String entry) {
 		return new ItemSender() {
@@ -50,7 +50,7 @@
 			@Override
 			public int freeSlots(String route) {
 				int free = FakeSidecars.this.capacity - FakeSidecars.this.running.size();
-				return FakeSidecars.this.dead.contains(entry) ? 0 : free;
+				return FakeSidecars.this.disconnected.contains(entry) ? 0 : free;
 			}
 
 			@Override
@@ -73,7 +73,7 @@
 	}
 
 	private CompletableFuture<ItemOutcome> start(String entry, ItemRequest request) {
-		if (this.dead.contains(entry)) {
+		if (this.disconnected.contains(entry)) {
 			return new CompletableFuture<>();
 		}
 		long fence = this.fences.merge(request.shard(), request.epoch(), Math::max);
@@ -96,13 +96,13 @@
 		stopping.forEach((item) -> item.outcome().complete(new ItemOutcome.Cancelled()));
 	}
 
-	void lose(String entry) {
-		this.dead.add(entry);
+	void disconnect(String entry) {
+		this.disconnected.add(entry);
 	}
 
 	/**
-	 * Lets running items end, the oldest first, until none runs.
-	 * @param outcome what becomes of an attempt
+	 * Ends running items, oldest first, until none is running.
+	 * @param outcome returns the outcome of an attempt
 	 */
 	void run(Function<ItemRequest, ItemOutcome> outcome) {
 		while (!this.running.isEmpty()) {
@@ -111,9 +111,9 @@
 	}
 
 	/**
-	 * Lets one running item end.
-	 * @param position which one
-	 * @param outcome what becomes of it
+	 * Ends one running item.
+	 * @param position the position among the running items, from 0 for the oldest
+	 * @param outcome returns the outcome of the attempt
 	 */
 	void end(int position, Function<ItemRequest, ItemOutcome> outcome) {
 		Running item = this.running.remove(position);
@@ -134,8 +134,8 @@
 
 	/**
 	 * Returns how many attempts at an item were passed on to an upstream.
-	 * @param requestId the item
-	 * @return the count
+	 * @param requestId the request identifier of the item
+	 * @return the number of attempts
 	 */
 	int starts(String requestId) {
 		return this.starts.getOrDefault(requestId, 0);
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobCrashPointTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobCrashPointTests.java
@@ -13,7 +13,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Walks every store call that the owner of a small job makes.
+ * Injects a fault at each store call that the owner of a small job makes.
  */
 class JobCrashPointTests {
 
@@ -23,7 +23,7 @@
 			List.of(JobWorld.line("i0", true), JobWorld.line("i1", false), JobWorld.line("i2", true),
 					JobWorld.line("i3", false), JobWorld.line("i4", true)));
 
-	static Stream<Arguments> moments() {
+	static Stream<Arguments> callsAndFaults() {
 		JobWorld world = new JobWorld(2);
 		JobId id = world.entry("x").submit("k", CONTENT).join().id();
 		JobWorld.Entry owner = world.entry("a").start();
@@ -35,23 +35,22 @@
 				.map((fault) -> Arguments.of(call, fault)));
 	}
 
-	// The owner of a job dies before or after one of its store calls, or is cut off from
-	// there
-	// on and its calls arrive after another owner took over. The caller must get each
-	// item
-	// once, and no item that may run only once runs twice.
+	// Guards against lost and duplicate results when the owner of a job crashes before
+	// or after one of its store calls, or is cut off and its calls arrive after another
+	// owner took over. Each item must end once, and no non-idempotent item may run
+	// twice.
 	@ParameterizedTest
-	@MethodSource("moments")
-	void shouldCompleteOnceWhenOwnerIsLostAtAnyCall(int moment, Fault fault) {
+	@MethodSource("callsAndFaults")
+	void shouldCompleteOnceWhenOwnerIsLostAtAnyCall(int callNumber, Fault fault) {
 		JobWorld world = new JobWorld(2);
 		world.sidecars.withoutFencing();
 		JobId id = world.entry("x").submit("k", CONTENT).join().id();
 		JobWorld.Entry owner = world.entry("a");
 		owner.faulty.plan((call) -> {
-			if (call.number() >= moment && fault != Fault.DELAYED) {
-				owner.die();
+			if (call.number() >= callNumber && fault != Fault.DELAYED) {
+				owner.crash();
 			}
-			return (call.number() >= moment) ? fault : Fault.NONE;
+			return (call.number() >= callNumber) ? fault : Fault.NONE;
 		});
 		owner.start();
 		for (int round = 0; round < 3; round++) {
@@ -59,22 +58,22 @@
 			world.seconds(1);
 		}
 		world.entry("b").start();
-		world.time.advance(JobWorld.TAKE_OVER);
+		world.time.advance(JobWorld.FAILOVER);
 		owner.faulty.deliver();
-		owner.die();
+		owner.crash();
 		JobRecord job = world.runToEnd(id);
 		assertThat(job.status()).isEqualTo(JobStatus.COMPLETED);
 		assertThat(job.counts().ended()).isEqualTo(ITEMS);
 		assertThat(world.results(id).stream().map(ItemResult::index).toList()).containsExactly(0, 1, 2, 3, 4);
-		assertStarts(world, id);
+		assertStartsBounded(world, id);
 	}
 
-	private static void assertStarts(JobWorld world, JobId id) {
+	private static void assertStartsBounded(JobWorld world, JobId id) {
 		for (int index = 0; index < ITEMS; index++) {
-			int most = (index % 2 == 1) ? 1 : 2;
+			int max = (index % 2 == 1) ? 1 : 2;
 			assertWithMessage("starts of item " + index)
 				.that(world.sidecars.starts(new ItemId(id, 0, index, "").requestId()))
-				.isAtMost(most);
+				.isAtMost(max);
 		}
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobIntakeTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobIntakeTests.java
@@ -55,7 +55,7 @@
 	}
 
 	@Test
-	void shouldFindJobSentAgainToAnotherEntry() {
+	void shouldReturnExistingJobAtAnotherEntry() {
 		JobRecord job = this.first.submit("k", JobWorld.lines(3)).join();
 		this.world.seconds(60);
 		assertThat(this.second.submit("k", JobWorld.lines(3)).join()).isEqualTo(job);
@@ -79,7 +79,7 @@
 			"{\"custom_id\":\"x\",\"url\":\"/v1/embeddings\",\"body\":{}} | line 2 goes to /v1/embeddings",
 			"{\"custom_id\":\"x\",\"url\":\"/v1/chat/completions\",\"method\":\"GET\",\"body\":{}} | line 2 has a method",
 			"{\"custom_id\":\"x\",\"url\":\"/v1/chat/completions\",\"body\":[]} | line 2 has a body that is not" })
-	void shouldNameBrokenLine(String line, String message) {
+	void shouldNameInvalidLine(String line, String message) {
 		CompletableFuture<FileRecord> upload = this.first.upload("k", JobWorld.line("i0", true) + "\n" + line + "\n");
 		assertThat(failure(upload)).isEqualTo(ErrorCode.JOB_BROKEN_LINE);
 		assertThat(message(upload)).contains(message);
@@ -88,7 +88,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "x", "\\\\", "\\\"", "é" })
-	void shouldKeepChunksUnderLimitWithEscapes(String filler) {
+	void shouldCountJsonEscapesInChunkSize(String filler) {
 		String body = filler.repeat(12_000 / filler.length());
 		String lines = IntStream.range(0, 400)
 			.mapToObj((item) -> JobWorld.line("i" + item, true).replace("\"n\":1", "\"t\":\"" + body + "\""))
@@ -102,7 +102,7 @@
 	}
 
 	@Test
-	void shouldTakePiecesWhereverTheyAreCut() {
+	void shouldAcceptContentSplitAtAnyByte() {
 		Upload upload = this.first.begin("k").join();
 		for (byte unit : JobWorld.lines(3).getBytes(StandardCharsets.UTF_8)) {
 			upload.write(new byte[] { unit }).join();
@@ -110,20 +110,20 @@
 		assertThat(upload.complete().join().items()).isEqualTo(3);
 	}
 
-	// The entry dies at one of its store calls while it takes a job in. The caller sees a
-	// broken
-	// connection and sends the job again, to another entry. It must find one job, whole.
+	// Guards against a lost or duplicate job when an entry crashes at one of its store
+	// calls while it accepts the job, and the caller repeats the request to another
+	// entry.
 	@ParameterizedTest
 	@CsvSource({ "0", "1", "2", "3", "4", "5", "6" })
-	void shouldAcceptOnceWhenEntryDiesAtAnyCall(int moment) {
-		for (Fault death : List.of(Fault.DEAD_BEFORE, Fault.DEAD_AFTER)) {
+	void shouldAcceptOnceWhenEntryCrashesAtAnyCall(int callNumber) {
+		for (Fault fault : List.of(Fault.DEAD_BEFORE, Fault.DEAD_AFTER)) {
 			JobWorld trial = new JobWorld(4);
-			JobWorld.Entry dying = trial.entry("a");
-			dying.faulty.plan((call) -> {
-				Fault earlier = (call.number() < moment) ? Fault.NONE : Fault.DEAD_BEFORE;
-				return (call.number() == moment) ? death : earlier;
+			JobWorld.Entry crashing = trial.entry("a");
+			crashing.faulty.plan((call) -> {
+				Fault earlier = (call.number() < callNumber) ? Fault.NONE : Fault.DEAD_BEFORE;
+				return (call.number() == callNumber) ? fault : earlier;
 			});
-			CompletableFuture<JobRecord> lost = dying.submit("k", JobWorld.lines(600));
+			CompletableFuture<JobRecord> lost = crashing.submit("k", JobWorld.lines(600));
 			JobWorld.Entry other = trial.entry("b");
 			JobRecord job = other.submit("k", JobWorld.lines(600)).join();
 			assertThat(lost.isDone()).isFalse();
@@ -136,39 +136,38 @@
 	}
 
 	@Test
-	void shouldMakeAsManyCallsAsTheDeathTestWalks() {
+	void shouldMakeAsManyCallsAsTheCrashTestCovers() {
 		this.first.submit("k", JobWorld.lines(600)).join();
 		assertThat(this.first.faulty.calls()).hasSize(CALLS_OF_SUBMIT);
 	}
 
-	// The platform takes a write and its answer is lost. The caller must get its job all
-	// the
-	// same, not a refusal of something that was accepted.
+	// Guards against rejecting an accepted job: the store applies a write, and its
+	// answer is lost.
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 1, 2, 3, 4, 5, 6 })
-	void shouldAcceptWhenOneAnswerIsLost(int moment) {
-		this.first.faulty.plan((call) -> (call.number() == moment && call.writes()) ? Fault.ANSWER_LOST : Fault.NONE);
+	void shouldAcceptWhenOneAnswerIsLost(int callNumber) {
+		this.first.faulty
+			.plan((call) -> (call.number() == callNumber && call.writes()) ? Fault.ANSWER_LOST : Fault.NONE);
 		JobRecord job = this.first.submit("k", JobWorld.lines(600)).join();
 		assertThat(this.world.record(job.id())).isEqualTo(job);
 	}
 
-	// The platform refuses calls for longer than the intake tries. The caller is refused,
-	// and
-	// what was stored up to then is not to be found as a job.
+	// Guards against a job that exists although it was rejected: the store rejects calls
+	// for longer than the intake retries.
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 1, 2, 3, 4 })
-	void shouldRefuseTruthfullyInOutage(int moment) {
-		this.first.faulty.plan((call) -> (call.number() >= moment) ? Fault.REFUSED : Fault.NONE);
+	void shouldRejectDuringStoreOutage(int callNumber) {
+		this.first.faulty.plan((call) -> (call.number() >= callNumber) ? Fault.REFUSED : Fault.NONE);
 		CompletableFuture<JobRecord> job = this.first.submit("k", JobWorld.lines(600));
 		this.world.seconds(30);
 		assertThat(failure(job)).isAnyOf(ErrorCode.FILE_NOT_STORED, ErrorCode.JOB_NOT_ACCEPTED);
 		assertThat(count(Kind.JOB)).isEqualTo(0);
 	}
 
-	// Uploads that broke off leave chunks that no job names; they would fill the
-	// platform.
+	// Guards against chunks of interrupted uploads filling the store: no job refers to
+	// them.
 	@Test
-	void shouldCollectChunksOfBrokenUploads() {
+	void shouldDeleteChunksOfInterruptedUploads() {
 		this.first.faulty.plan((call) -> (call.number() < 3) ? Fault.NONE : Fault.DEAD_BEFORE);
 		this.first.submit("k", JobWorld.lines(2000));
 		assertThat(count(Kind.CHUNK)).isGreaterThan(0);
@@ -183,7 +182,7 @@
 	}
 
 	@Test
-	void shouldNotDeleteFileThatAJobReads() {
+	void shouldNotDeleteFileOfOpenJob() {
 		JobRecord job = this.first.submit("k", JobWorld.lines(3)).join();
 		JobGarbageCollector collector = JobGarbageCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
 				Duration.ofDays(30), Duration.ofHours(6));
