--- a/modules/core/src/test/java/org/ragworthook/core/job/JobInterleavingTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobInterleavingTests.java
@@ -20,23 +20,21 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Random interleavings of what can happen to a job.
+ * Tests random interleavings of faults, repeated submissions and a cancellation.
  */
 class JobInterleavingTests {
 
 	private static final int ITEMS = 12;
 
-	private static final int MOST_ENTRIES = 8;
+	private static final int MAX_ENTRIES = 8;
 
-	// Owners pause, are cut off, die and come back, answers of the store are lost, the
-	// caller
-	// sends its job again and may cancel it, in any order. Whatever happens the caller
-	// must
-	// get each item once, and nothing may start after an acknowledged cancel.
+	// Owners are paused, cut off, crash and come back, answers of the store are lost,
+	// and the caller repeats its submission and may cancel the job, in any order. Each
+	// item must end once, and none may start after an acknowledged cancellation.
 	@Property(tries = 400, seed = "20251", shrinking = ShrinkingMode.BOUNDED)
 	void shouldEndEachItemOnce(@ForAll @Size(min = 5, max = 60) List<@IntRange(max = 15) Integer> steps,
-			@ForAll boolean sidecarsTold, @ForAll long seed) {
-		Trial trial = new Trial(sidecarsTold, new Random(seed));
+			@ForAll boolean sidecarsNotified, @ForAll long seed) {
+		Trial trial = new Trial(sidecarsNotified, new Random(seed));
 		steps.forEach(trial::step);
 		trial.heal();
 		trial.check();
@@ -46,7 +44,7 @@
 
 		private final JobWorld world = new JobWorld(3);
 
-		private final boolean sidecarsTold;
+		private final boolean sidecarsNotified;
 
 		private final Random random;
 
@@ -58,14 +56,14 @@
 
 		private final JobId id;
 
-		private int names;
+		private int entryCount;
 
 		private int startsAtCancel = -1;
 
 		private boolean cancelled;
 
-		Trial(boolean sidecarsTold, Random random) {
-			this.sidecarsTold = sidecarsTold;
+		Trial(boolean sidecarsNotified, Random random) {
+			this.sidecarsNotified = sidecarsNotified;
 			this.random = random;
 			this.world.sidecars.withoutFencing();
 			newEntry();
@@ -74,46 +72,46 @@
 		}
 
 		private void newEntry() {
-			if (this.names < MOST_ENTRIES) {
-				this.entries.add(this.world.entry("e" + this.names++).start());
+			if (this.entryCount < MAX_ENTRIES) {
+				this.entries.add(this.world.entry("e" + this.entryCount++).start());
 			}
 		}
 
-		private JobWorld.Entry some() {
+		private JobWorld.Entry randomEntry() {
 			return this.entries.get(this.random.nextInt(this.entries.size()));
 		}
 
 		void step(int action) {
 			switch (action) {
-				case 0 -> some().faulty.plan(Fault.DELAYED);
-				case 1 -> some().faulty.deliver();
-				case 2, 3 -> wake(some());
-				case 4 -> some().faulty.plan((call) -> lose(call, Fault.ANSWER_LOST));
-				case 5 -> some().faulty.plan((call) -> lose(call, Fault.REQUEST_LOST));
-				case 6 -> some().faulty.plan(Fault.REFUSED);
+				case 0 -> randomEntry().faulty.plan(Fault.DELAYED);
+				case 1 -> randomEntry().faulty.deliver();
+				case 2, 3 -> reconnect(randomEntry());
+				case 4 -> randomEntry().faulty.plan((call) -> loseWrite(call, Fault.ANSWER_LOST));
+				case 5 -> randomEntry().faulty.plan((call) -> loseWrite(call, Fault.REQUEST_LOST));
+				case 6 -> randomEntry().faulty.plan(Fault.REFUSED);
 				case 7 -> replace();
 				case 8 -> this.world.seconds(7);
 				case 9 -> this.world.time.advance(Duration.ofMillis(300));
 				case 10 -> cancel();
-				case 11 -> some().submit("k", this.content);
+				case 11 -> randomEntry().submit("k", this.content);
 				case 12 -> this.world.store.endWatches();
-				default -> endSome();
+				default -> endRandomItem();
 			}
 		}
 
-		private Fault lose(Call call, Fault fault) {
+		private Fault loseWrite(Call call, Fault fault) {
 			return (call.writes() && this.random.nextInt(3) == 0) ? fault : Fault.NONE;
 		}
 
-		private static void wake(JobWorld.Entry entry) {
+		private static void reconnect(JobWorld.Entry entry) {
 			entry.faulty.plan(Fault.NONE);
 			entry.faulty.deliver();
 		}
 
 		private void replace() {
-			JobWorld.Entry lost = some();
+			JobWorld.Entry lost = randomEntry();
 			if (this.entries.size() > 1) {
-				lost.die();
+				lost.crash();
 				this.entries.remove(lost);
 			}
 			newEntry();
@@ -129,7 +127,7 @@
 
 		private void acknowledged() {
 			this.cancelled = true;
-			if (this.sidecarsTold) {
+			if (this.sidecarsNotified) {
 				this.world.sidecars.of("caller").cancel(this.id);
 				this.startsAtCancel = this.world.sidecars.allStarts();
 			}
@@ -139,7 +137,7 @@
 			}
 		}
 
-		private void endSome() {
+		private void endRandomItem() {
 			if (this.world.sidecars.runningCount() > 0) {
 				int position = this.random.nextInt(this.world.sidecars.runningCount());
 				this.world.sidecars.end(position, this::outcome);
@@ -158,9 +156,9 @@
 		}
 
 		void heal() {
-			this.entries.forEach(Trial::wake);
-			this.world.time.advance(JobWorld.TAKE_OVER);
-			this.entries.forEach(Trial::wake);
+			this.entries.forEach(Trial::reconnect);
+			this.world.time.advance(JobWorld.FAILOVER);
+			this.entries.forEach(Trial::reconnect);
 			this.world.runToEnd(this.id);
 		}
 
--- a/modules/core/src/test/java/org/ragworthook/core/job/JobWorld.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/JobWorld.java
@@ -21,7 +21,7 @@
 import org.ragworthook.core.time.ManualTime;
 
 /**
- * A store, a manual time, sidecars, and entries that can die.
+ * An in-memory object store, a manual clock, fake sidecars, and entries that can crash.
  */
 final class JobWorld {
 
@@ -31,7 +31,7 @@
 
 	static final Duration PERIOD = Duration.ofSeconds(6);
 
-	static final Duration TAKE_OVER = PERIOD.multipliedBy(2).plusSeconds(2);
+	static final Duration FAILOVER = PERIOD.multipliedBy(2).plusSeconds(2);
 
 	private static final long EPOCH_MILLIS = 1_760_000_000_000L;
 
@@ -43,7 +43,7 @@
 
 	final FakeSidecars sidecars;
 
-	private final Set<String> listed = new TreeSet<>();
+	private final Set<String> entryNames = new TreeSet<>();
 
 	JobWorld(int capacity) {
 		this.sidecars = new FakeSidecars(capacity);
@@ -89,9 +89,9 @@
 	}
 
 	/**
-	 * Lets entries and sidecars work until a job has ended.
+	 * Ends running items and advances the clock until a job has ended.
 	 * @param id the job
-	 * @return the job as it ended
+	 * @return the record of the job
 	 */
 	JobRecord runToEnd(JobId id) {
 		for (int round = 0; round < 200 && !record(id).status().ended(); round++) {
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * One entry, with its own way to the store.
+	 * One entry, with its own fault-injecting connection to the store.
 	 */
 	final class Entry {
 
@@ -116,19 +116,19 @@
 
 		private final JobIntake jobs;
 
-		private final JobCanceller cancels;
+		private final JobCanceller canceller;
 
 		Entry(String name) {
 			this.name = name;
 			JobWorld world = JobWorld.this;
 			Stamps stamps = Stamps.of(name);
-			world.listed.add(name);
+			world.entryNames.add(name);
 			this.files = FileIntake.builder(this.faulty, stamps, world.time, world.clock).build();
 			this.jobs = JobIntake.of(this.files, stamps, world.time, world.clock, 1);
-			this.cancels = JobCanceller.of(this.faulty, stamps, world.clock);
+			this.canceller = JobCanceller.of(this.faulty, stamps, world.clock);
 			this.runner = JobRunner.builder(this.faulty, stamps, world.sidecars.of(name))
 				.time(world.time, world.time, world.clock)
-				.entries(() -> Set.copyOf(world.listed))
+				.entries(() -> Set.copyOf(world.entryNames))
 				.period(PERIOD)
 				.build();
 		}
@@ -138,9 +138,9 @@
 			return this;
 		}
 
-		void die() {
-			JobWorld.this.listed.remove(this.name);
-			JobWorld.this.sidecars.lose(this.name);
+		void crash() {
+			JobWorld.this.entryNames.remove(this.name);
+			JobWorld.this.sidecars.disconnect(this.name);
 			this.faulty.plan(Fault.DEAD_BEFORE);
 		}
 
@@ -165,7 +165,7 @@
 		}
 
 		CompletableFuture<JobRecord> cancel(JobId id) {
-			return this.cancels.cancel(ACCOUNT, id);
+			return this.canceller.cancel(ACCOUNT, id);
 		}
 
 	}
--- a/modules/core/src/test/java/org/ragworthook/core/job/ShardOwnerTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/ShardOwnerTests.java
@@ -59,24 +59,23 @@
 	@Test
 	void shouldStayWithinBudgetOfStoreCalls() {
 		this.world.seconds(10);
-		int before = this.entry.faulty.calls().size();
+		int callsBefore = this.entry.faulty.calls().size();
 		JobId id = this.entry.submit("k", JobWorld.lines(10_000)).join().id();
 		while (!this.world.record(id).status().ended()) {
 			this.world.sidecars.run(FakeSidecars::answer);
 		}
-		int calls = this.entry.faulty.calls().size() - before;
+		int calls = this.entry.faulty.calls().size() - callsBefore;
 		assertThat(calls).isAtMost(10 * 30);
 	}
 
 	@Test
-	void shouldNeverSendMoreThanThereIsRoom() {
+	void shouldNotSendMoreThanFreeSlots() {
 		submit(JobWorld.lines(100));
 		assertThat(this.world.sidecars.runningCount()).isEqualTo(8);
 	}
 
-	// An upstream keeps failing one item. Its job must end all the same, with an error
-	// for
-	// this item and after a bounded number of attempts.
+	// Guards against a job that never ends because an upstream keeps failing one item.
+	// The item must end with an error after a bounded number of attempts.
 	@ParameterizedTest
 	@ValueSource(ints = { 429, 500, 503 })
 	void shouldEndItemAfterBoundedAttempts(int status) {
@@ -87,12 +86,12 @@
 			this.world.seconds(1);
 		}
 		assertThat(ends(id)).containsExactly("COMPLETED", 2L, "FAILED", 1L);
-		assertThat(this.world.sidecars.allStarts()).isEqualTo(2 + BatchPolicy.standard().attempts());
+		assertThat(this.world.sidecars.allStarts()).isEqualTo(2 + BatchPolicy.standard().maxAttempts());
 		assertThat(this.world.read(id, FileId.Content.ERRORS).get(0)).contains("\"status_code\":" + status);
 	}
 
 	@Test
-	void shouldNotRepeatItemThatTheUpstreamRefuses() {
+	void shouldNotRetryItemThatTheUpstreamRejects() {
 		JobId id = submit(JobWorld.lines(1));
 		this.world.sidecars.run((request) -> new ItemOutcome.Answered(400, "not json\nat all"));
 		assertThat(ends(id)).containsExactly("FAILED", 1L);
@@ -100,11 +99,10 @@
 		assertThat(this.world.read(id, FileId.Content.ERRORS)).hasSize(1);
 	}
 
-	// One item crashes each upstream that runs it, and takes its neighbours down with it.
-	// The
-	// neighbours must complete; only the culprit is ended.
+	// Guards against blaming items that ran beside one that crashes its upstreams. They
+	// must complete; only the crashing item ends as poisoned.
 	@Test
-	void shouldConvictOnlyTheItemThatCrashesAlone() {
+	void shouldPoisonOnlyTheItemThatCrashesAlone() {
 		JobId id = submit(JobWorld.lines(8));
 		for (int round = 0; round < 40; round++) {
 			this.world.sidecars.run((request) -> {
@@ -130,7 +128,7 @@
 	}
 
 	@Test
-	void shouldSendAgainWhatWasNotPassedOn() {
+	void shouldRetryItemThatWasNotPassedOn() {
 		JobId id = submit(JobWorld.line("once", false));
 		this.world.sidecars.end(0, (request) -> new ItemOutcome.NotPassedOn(Duration.ofMillis(300)));
 		assertThat(this.world.sidecars.runningCount()).isEqualTo(0);
@@ -139,11 +137,11 @@
 		assertThat(this.world.runToEnd(id).counts().completed()).isEqualTo(1);
 	}
 
-	// The upstream is lost with an item in flight that may run only once, such as a
-	// booking.
-	// Run again it could be made twice; so it ends, and its caller is told to check.
+	// Guards against running a non-idempotent item, such as a booking, a second time
+	// after its upstream was lost. It must end with an unknown outcome, so that the
+	// caller can check.
 	@Test
-	void shouldNotRepeatItemThatMayRunOnlyOnce() {
+	void shouldNotRepeatNonIdempotentItem() {
 		JobId id = submit(JobWorld.line("once", false) + "\n" + JobWorld.line("again", true));
 		this.world.sidecars.run((request) -> (request.item().idempotent() && request.attempt() > 1)
 				? FakeSidecars.answer(request) : new ItemOutcome.Broken("upstream lost"));
@@ -154,7 +152,7 @@
 	}
 
 	@Test
-	void shouldRecordStartBeforeSendingItemThatMayRunOnlyOnce() {
+	void shouldRecordStartBeforeSendingNonIdempotentItem() {
 		this.entry.faulty
 			.plan((call) -> (call.kind() == Kind.RESULT && call.verb().equals("update")) ? Fault.REFUSED : Fault.NONE);
 		submit(JobWorld.line("once", false));
@@ -164,11 +162,10 @@
 		assertThat(this.world.sidecars.allStarts()).isEqualTo(1);
 	}
 
-	// Answers are long, so that those of one chunk do not fit into one record. The job
-	// must
-	// show all of them, each once.
+	// Guards against lost or duplicate results when the results of one chunk do not fit
+	// into one record.
 	@Test
-	void shouldKeepResultsThatDoNotFitIntoOneRecord() {
+	void shouldMoveResultsThatDoNotFitIntoOneRecord() {
 		JobId id = submit(JobWorld.lines(300));
 		String text = "x".repeat(9_000);
 		this.world.sidecars.run((request) -> new ItemOutcome.Answered(200, "{\"t\":\"" + text + "\"}"));
@@ -177,7 +174,7 @@
 	}
 
 	@Test
-	void shouldEndItemWhoseAnswerNoRecordTakes() {
+	void shouldFailItemWhoseAnswerIsTooLarge() {
 		JobId id = submit(JobWorld.lines(2));
 		this.world.sidecars.run((request) -> (request.id().index() == 0)
 				? new ItemOutcome.Answered(200, "\"" + "x".repeat(900_000) + "\"") : FakeSidecars.answer(request));
@@ -185,9 +182,8 @@
 		assertThat(ends(id)).containsExactly("COMPLETED", 1L, "FAILED", 1L);
 	}
 
-	// A caller cancels a job and is told so. Nothing of it may start afterwards, and what
-	// was
-	// finished stays readable.
+	// Guards against items that start after a cancellation was acknowledged, and against
+	// the loss of results written before.
 	@Test
 	void shouldStopWhenCancelled() {
 		JobId id = submit(JobWorld.lines(600));
@@ -220,9 +216,8 @@
 		assertThat(foreign.code()).isEqualTo(ErrorCode.JOB_NOT_FOUND);
 	}
 
-	// The owner leaves as planned. Another entry must go on within a second, and no item
-	// that
-	// was running is lost.
+	// Guards against slow failover and lost items after a planned release: another entry
+	// must continue within a second.
 	@Test
 	void shouldHandOverWithinOneSecond() {
 		JobId id = submit(JobWorld.lines(40));
@@ -230,18 +225,17 @@
 		this.world.sidecars.end(0, FakeSidecars::answer);
 		this.entry.runner.releaseShards();
 		this.world.time.advance(Duration.ofMillis(50));
-		this.entry.die();
+		this.entry.crash();
 		this.world.time.advance(Duration.ofMillis(950));
 		assertThat(other.runner.shards()).containsExactly(0);
 		assertThat(this.world.sidecars.runningCount()).isEqualTo(8);
 		assertThat(this.world.runToEnd(id).counts().completed()).isEqualTo(40);
 	}
 
-	// A planned leave waits for an item that may run only once: called back, nobody could
-	// tell
-	// whether it was carried out.
+	// Guards against recalling a running non-idempotent item at a planned release:
+	// nobody could tell whether it was carried out.
 	@Test
-	void shouldWaitForItemThatMayRunOnlyOnceWhenLeaving() {
+	void shouldWaitForNonIdempotentItemWhenReleasing() {
 		JobId id = submit(JobWorld.line("once", false));
 		this.entry.runner.releaseShards();
 		this.world.seconds(1);
@@ -249,15 +243,15 @@
 		this.world.sidecars.end(0, FakeSidecars::answer);
 		this.world.seconds(1);
 		assertThat(this.entry.runner.shards()).isEmpty();
-		this.entry.die();
+		this.entry.crash();
 		assertThat(this.world.entry("b").start().runner.shards()).containsExactly(0);
 		assertThat(this.world.runToEnd(id).counts().completed()).isEqualTo(1);
 	}
 
-	// The platform is out for an hour while items run. What they answered must be written
-	// afterwards, and nothing of it runs again.
+	// Guards against losing or repeating work when the store is unavailable for an hour
+	// while items run: their results must be written afterwards.
 	@Test
-	void shouldKeepResultsOverAnOutageOfAnHour() {
+	void shouldKeepResultsDuringStoreOutage() {
 		JobId id = submit(JobWorld.lines(40));
 		this.entry.faulty.plan(Fault.REFUSED);
 		this.world.sidecars.run(FakeSidecars::answer);
@@ -271,14 +265,14 @@
 	}
 
 	@Test
-	void shouldCollectJobAfterRetention() {
+	void shouldDeleteJobAfterRetention() {
 		JobId id = submit(JobWorld.lines(3));
 		this.world.runToEnd(id);
 		JobGarbageCollector collector = JobGarbageCollector.of(this.world.store, Stamps.of("c"), this.world.clock,
 				Duration.ofDays(7), Duration.ofHours(6));
 		collector.sweep(0).join();
 		assertThat(this.world.read(id, FileId.Content.OUTPUT)).hasSize(3);
-		this.entry.die();
+		this.entry.crash();
 		this.world.time.advance(Duration.ofDays(8));
 		collector.sweep(0).join();
 		assertThat(this.world.store.read(id.key()).join()).isEmpty();
@@ -287,15 +281,15 @@
 
 	@Test
 	void shouldShareByWeightAndRaiseUrgentJobs() {
-		StrideScheduler shares = new StrideScheduler((account) -> account.equals("heavy") ? 3 : 1);
-		shares.keep(Set.of("heavy", "light", "urgent"));
+		StrideScheduler scheduler = new StrideScheduler((account) -> account.equals("heavy") ? 3 : 1);
+		scheduler.retain(Set.of("heavy", "light", "urgent"));
 		Map<String, Integer> sent = new HashMap<>();
 		for (int item = 0; item < 800; item++) {
 			String next = List.of("heavy", "light", "urgent")
 				.stream()
-				.min(Comparator.comparingDouble(shares::pass))
+				.min(Comparator.comparingDouble(scheduler::pass))
 				.orElseThrow();
-			shares.sent(next, next.equals("urgent") ? 4 : 1);
+			scheduler.sent(next, next.equals("urgent") ? 4 : 1);
 			sent.merge(next, 1, Integer::sum);
 		}
 		assertThat(sent.get("heavy")).isIn(Range.closed(298, 302));
@@ -303,7 +297,7 @@
 	}
 
 	@Test
-	void shouldRaiseUrgencyAsDueTimeNears() {
+	void shouldIncreaseUrgencyNearDueTime() {
 		assertThat(Urgency.of(0, 400, 1000)).isEqualTo(1.0);
 		assertThat(Urgency.of(0, 750, 1000)).isEqualTo(8.5);
 		assertThat(Urgency.of(0, 2000, 1000)).isEqualTo(16.0);
--- a/modules/core/src/test/java/org/ragworthook/core/job/ShardSpecification.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/ShardSpecification.java
@@ -9,13 +9,13 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * The transitions of {@code shard.als} as an observer of the store and of the sidecars
- * sees them, with the names used there: {@code take}, {@code arrive} (with the
- * {@code content} of a write) and {@code dispatch}. What owners know is not seen, so a
+ * The transitions of {@code shard.als} as an observer of the store and the sidecars sees
+ * them, under the same names: {@code take}, {@code arrive} (with the {@code content} of a
+ * write) and {@code dispatch}. The internal state of owners cannot be observed, so a
  * guard on it becomes a condition on the versions that the record has had.
  * <p>
- * One wording differs from the specification: there an item stays among the started ones
- * for ever, here it may leave them once it has ended.
+ * It differs from the specification in one point: there an item stays in the set of
+ * started items for ever, here it may leave the set after it has ended.
  */
 final class ShardSpecification {
 
@@ -40,16 +40,16 @@
 	private int arrivals;
 
 	/**
-	 * Starts from the state in which nothing was written yet.
-	 * @param nonIdempotent the items that may be run once at most
+	 * Starts from the initial state, in which nothing is written.
+	 * @param nonIdempotent the indexes of the non-idempotent items
 	 */
 	ShardSpecification(Set<Integer> nonIdempotent) {
 		this.nonIdempotent = Set.copyOf(nonIdempotent);
 	}
 
 	/**
-	 * The lease of the shard was written.
-	 * @param epoch the epoch in it
+	 * Called when the lease of the shard was written.
+	 * @param epoch the epoch in the lease
 	 */
 	void take(long epoch) {
 		assertWithMessage("epoch of the lease").that(epoch).isAnyOf(this.leaseEpoch, this.leaseEpoch + 1);
@@ -57,8 +57,8 @@
 	}
 
 	/**
-	 * A write of the result record took effect.
-	 * @param record the record as it is now
+	 * Called when a write of the result record took effect.
+	 * @param record the new content of the record
 	 */
 	void arrive(ResultRecord record) {
 		this.arrivals++;
@@ -80,7 +80,8 @@
 		this.ended.putAll(now);
 	}
 
-	// An owner's first write ends what earlier owners had started, and nothing else.
+	// An owner's first write ends the items that earlier owners had started, and no
+	// other item.
 	private void claim(long epoch, ResultRecord record, Map<Integer, String> now) {
 		Set<Integer> left = minus(this.started, this.ended.keySet());
 		assertWithMessage("items ended by a claim").that(minus(now.keySet(), this.ended.keySet())).isEqualTo(left);
@@ -103,8 +104,8 @@
 	}
 
 	/**
-	 * An item was passed to an upstream.
-	 * @param item its number
+	 * Called when an item was passed on to an upstream.
+	 * @param item the index of the item
 	 * @param epoch the epoch of the owner that sent it
 	 */
 	void dispatch(int item, long epoch) {
@@ -121,8 +122,8 @@
 	}
 
 	/**
-	 * Returns how many writes of the record took effect.
-	 * @return the count
+	 * Returns how many writes of the result record took effect.
+	 * @return the number of writes
 	 */
 	int arrivals() {
 		return this.arrivals;
--- a/modules/core/src/test/java/org/ragworthook/core/job/ShardTraceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/ShardTraceTests.java
@@ -21,10 +21,11 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The specification is checked by a model checker, the code by its runs; this ties the
- * two: whatever the code writes and dispatches under random pauses, losses, late writes
- * and lost answers must be a transition of the specification. Without it the code could
- * drift from the protocol that was proved, and one would notice only by a double result.
+ * Checks the implementation against the specification: a model checker verifies the
+ * protocol, and these tests check that all writes and dispatches of the code, under
+ * random pauses, losses, delayed writes and lost answers, are transitions of it.
+ * Otherwise the code could drift from the verified protocol unnoticed until an item ends
+ * twice.
  */
 class ShardTraceTests {
 
@@ -36,7 +37,7 @@
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void shouldOnlyMakeTransitionsOfTheSpecification(int block) {
+	void shouldMakeOnlySpecifiedTransitions(int block) {
 		int arrivals = 0;
 		int epochs = 0;
 		for (int seed = block * 1000; seed < block * 1000 + 25; seed++) {
@@ -50,23 +51,23 @@
 	}
 
 	@Test
-	void shouldNoticeARunWithoutAStartRecord() {
+	void shouldRejectRunWithoutStartRecord() {
 		ShardSpecification specification = new ShardSpecification(NON_IDEMPOTENT);
 		specification.take(1);
 		specification.arrive(ResultRecord.claimed(1, ITEMS));
-		assertThat(refused(() -> specification.dispatch(0, 1))).isTrue();
+		assertThat(rejected(() -> specification.dispatch(0, 1))).isTrue();
 	}
 
 	@Test
-	void shouldNoticeAWriteOfADeposedOwner() {
+	void shouldRejectWriteOfEarlierOwner() {
 		ShardSpecification specification = new ShardSpecification(NON_IDEMPOTENT);
 		specification.take(1);
 		specification.take(2);
 		specification.arrive(ResultRecord.claimed(2, ITEMS));
-		assertThat(refused(() -> specification.arrive(ResultRecord.claimed(1, ITEMS)))).isTrue();
+		assertThat(rejected(() -> specification.arrive(ResultRecord.claimed(1, ITEMS)))).isTrue();
 	}
 
-	private static boolean refused(Runnable transition) {
+	private static boolean rejected(Runnable transition) {
 		try {
 			transition.run();
 			return false;
@@ -88,9 +89,9 @@
 
 		private final JobId id;
 
-		private int names;
+		private int entryCount;
 
-		private int seen;
+		private int checkedRequests;
 
 		private int epochs;
 
@@ -110,7 +111,7 @@
 		}
 
 		private void newEntry() {
-			this.entries.add(this.world.entry("e" + this.names++).start());
+			this.entries.add(this.world.entry("e" + this.entryCount++).start());
 		}
 
 		// -- trace
@@ -129,58 +130,59 @@
 
 		private void dispatches() {
 			List<ItemRequest> requests = this.world.sidecars.requests();
-			for (ItemRequest request : requests.subList(this.seen, requests.size())) {
+			for (ItemRequest request : requests.subList(this.checkedRequests, requests.size())) {
 				this.specification.dispatch(request.id().index(), request.epoch());
 			}
-			this.seen = requests.size();
+			this.checkedRequests = requests.size();
 		}
 
 		// -- schedule
 
 		void run() {
 			IntStream.range(0, STEPS).forEach((step) -> step());
-			this.entries.forEach(Trial::wake);
-			this.world.time.advance(JobWorld.TAKE_OVER);
+			this.entries.forEach(Trial::reconnect);
+			this.world.time.advance(JobWorld.FAILOVER);
 			assertThat(this.world.runToEnd(this.id).status().ended()).isTrue();
 			dispatches();
 		}
 
 		private void step() {
 			switch (this.random.nextInt(14)) {
-				case 0 -> some().faulty.plan(Fault.DELAYED);
-				case 1 -> some().faulty.plan((call) -> lose(call, Fault.ANSWER_LOST));
-				case 2 -> some().faulty.plan((call) -> lose(call, Fault.LATE));
-				case 3 -> some().faulty.deliver();
-				case 4, 5 -> wake(some());
+				case 0 -> randomEntry().faulty.plan(Fault.DELAYED);
+				case 1 -> randomEntry().faulty.plan((call) -> loseWrite(call, Fault.ANSWER_LOST));
+				case 2 -> randomEntry().faulty.plan((call) -> loseWrite(call, Fault.LATE));
+				case 3 -> randomEntry().faulty.deliver();
+				case 4, 5 -> reconnect(randomEntry());
 				case 6 -> replace();
 				case 7 -> this.world.seconds(7);
 				case 8 -> this.world.time.advance(Duration.ofMillis(300));
-				case 9, 10 -> some().faulty.plan((call) -> (call.kind() != Kind.LEASE) ? Fault.DELAYED : Fault.NONE);
-				default -> endSome();
+				case 9, 10 ->
+					randomEntry().faulty.plan((call) -> (call.kind() != Kind.LEASE) ? Fault.DELAYED : Fault.NONE);
+				default -> endRandomItem();
 			}
 		}
 
-		private JobWorld.Entry some() {
+		private JobWorld.Entry randomEntry() {
 			return this.entries.get(this.random.nextInt(this.entries.size()));
 		}
 
-		private static void wake(JobWorld.Entry entry) {
+		private static void reconnect(JobWorld.Entry entry) {
 			entry.faulty.plan(Fault.NONE);
 			entry.faulty.deliver();
 		}
 
-		private Fault lose(Call call, Fault fault) {
+		private Fault loseWrite(Call call, Fault fault) {
 			return (call.writes() && this.random.nextInt(3) == 0) ? fault : Fault.NONE;
 		}
 
 		private void replace() {
-			JobWorld.Entry lost = some();
-			lost.die();
+			JobWorld.Entry lost = randomEntry();
+			lost.crash();
 			this.entries.remove(lost);
 			newEntry();
 		}
 
-		private void endSome() {
+		private void endRandomItem() {
 			if (this.world.sidecars.runningCount() > 0) {
 				this.world.sidecars.end(this.random.nextInt(this.world.sidecars.runningCount()), this::outcome);
 			}
--- a/modules/core/src/test/java/org/ragworthook/core/job/UploadFuzzTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/job/UploadFuzzTests.java
@@ -21,38 +21,38 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * A caller uploads whatever it likes as a batch file: binary, half a line, a line of a
- * megabyte without an end. It must be told which line is broken; any other error, or a
- * chunk that the platform does not take, would leave it without a remedy.
+ * Guards against untyped errors and oversized chunks when a caller uploads arbitrary
+ * content as a batch file: binary data, half a line, a line of a megabyte without an end.
+ * The error must name the invalid line.
  */
 class UploadFuzzTests {
 
 	private static final String SEED = "20261202";
 
 	@Property(seed = SEED, tries = 1000)
-	void shouldRefuseAnyBytesWithATypedError(@ForAll("pieces") List<byte[]> pieces) {
-		uploads(pieces);
+	void shouldRejectArbitraryBytesWithTypedError(@ForAll("buffers") List<byte[]> buffers) {
+		accepts(buffers);
 	}
 
 	@Property(seed = SEED, tries = 1000)
-	void shouldRefuseDamagedLinesWithATypedError(@ForAll("lines") List<String> lines) {
-		uploads(List.of(String.join("\n", lines).getBytes(StandardCharsets.UTF_8)));
+	void shouldRejectDamagedLinesWithTypedError(@ForAll("lines") List<String> lines) {
+		accepts(List.of(String.join("\n", lines).getBytes(StandardCharsets.UTF_8)));
 	}
 
 	@Test
-	void shouldRefuseALineWithoutEnd() {
-		byte[] piece = "x".repeat(64 * 1024).getBytes(StandardCharsets.UTF_8);
-		assertThat(uploads(Collections.nCopies(40, piece))).isFalse();
+	void shouldRejectLineWithoutEnd() {
+		byte[] buffer = "x".repeat(64 * 1024).getBytes(StandardCharsets.UTF_8);
+		assertThat(accepts(Collections.nCopies(40, buffer))).isFalse();
 	}
 
 	@Test
-	void shouldRefuseDeepLinesWithoutExhaustingTheStack() {
+	void shouldRejectDeeplyNestedLines() {
 		String deep = "{\"custom_id\":\"a\",\"url\":\"/v1\",\"body\":" + "[".repeat(100_000);
-		assertThat(uploads(List.of(deep.getBytes(StandardCharsets.UTF_8)))).isFalse();
+		assertThat(accepts(List.of(deep.getBytes(StandardCharsets.UTF_8)))).isFalse();
 	}
 
 	@Provide
-	Arbitrary<List<byte[]>> pieces() {
+	Arbitrary<List<byte[]>> buffers() {
 		return Arbitraries.bytes().array(byte[].class).ofMaxSize(200).list().ofMaxSize(10);
 	}
 
@@ -64,13 +64,13 @@
 		return fragments.list().ofMaxSize(6);
 	}
 
-	private static boolean uploads(List<byte[]> pieces) {
+	private static boolean accepts(List<byte[]> buffers) {
 		JobWorld world = new JobWorld(1);
 		try {
 			Upload upload = world.entry("e").begin("k").join();
 			CompletableFuture<Void> written = CompletableFuture.completedFuture(null);
-			for (byte[] piece : pieces) {
-				written = written.thenCompose((before) -> upload.write(piece));
+			for (byte[] buffer : buffers) {
+				written = written.thenCompose((before) -> upload.write(buffer));
 			}
 			Optional<FileRecord> file = Optional.of(written.thenCompose((done) -> upload.complete()).join());
 			world.store.list(Kind.CHUNK, Labels.empty())
