--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AccountGates.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AccountGates.java
@@ -11,9 +11,9 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * The gates of all accounts at this entry. Each entry grants its share of an account's
- * limits, since the balancer before the entries spreads callers evenly and counting
- * together would take a call to another process for each request.
+ * The admission gates of all accounts at this entry. Each entry enforces an equal share
+ * of an account's limits: the load balancer spreads callers evenly over the entries, and
+ * a shared count would cost a call to another process for each request.
  */
 final class AccountGates {
 
@@ -29,21 +29,23 @@
 	}
 
 	/**
-	 * Returns the gate of an account with the limits now in force.
-	 * @param account the account
-	 * @return its gate
+	 * Returns the gate of an account. Updates the gate first if the account's limits or
+	 * the number of entries have changed.
+	 * @param account the account, with its current limits
+	 * @return the account's gate
 	 */
 	AccountGate of(Account account) {
 		int share = this.entries.getAsInt();
-		Entry known = this.gates.get(account.name());
-		if (known == null || known.share() != share || !known.limits().equals(account.limits())) {
-			known = this.gates.compute(account.name(), (name, old) -> limited(old, account.limits(), share));
+		Entry existing = this.gates.get(account.name());
+		if (existing == null || existing.share() != share || !existing.limits().equals(account.limits())) {
+			existing = this.gates.compute(account.name(),
+					(name, previous) -> applyLimits(previous, account.limits(), share));
 		}
-		return known.gate();
+		return existing.gate();
 	}
 
-	private Entry limited(Entry old, Limits limits, int share) {
-		AccountGate gate = (old != null) ? old.gate() : AccountGate.of(this.ticker);
+	private Entry applyLimits(Entry previous, Limits limits, int share) {
+		AccountGate gate = (previous != null) ? previous.gate() : AccountGate.of(this.ticker);
 		int inFlight = (limits.inFlight() > 0) ? Math.max(1, limits.inFlight() / share) : 0;
 		gate.setLimits((double) limits.requestsPerSecond() / share, inFlight,
 				(double) limits.tokensPerSecond() / share);
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AttemptListener.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/AttemptListener.java
@@ -4,26 +4,27 @@
 import org.ragworthook.wire.message.Output;
 
 /**
- * One attempt at a request, as its sidecar answers it. Calls come one at a time, on the
- * link's thread, which they must not block. {@code done} or {@code lost} is the last
- * call.
+ * Receives the output and the end of one attempt at a request. The methods are called one
+ * at a time on the link's thread and must not block. {@code done} or {@code lost} is the
+ * last call.
  */
 public interface AttemptListener {
 
 	/**
-	 * A piece of the answer has come.
-	 * @param output the piece
+	 * Called when a part of the upstream's answer has been received.
+	 * @param output the part
 	 */
 	void output(Output output);
 
 	/**
-	 * The sidecar tells how the attempt ended.
+	 * Called when the sidecar has reported the end of the attempt.
 	 * @param done the outcome
 	 */
 	void done(Done done);
 
 	/**
-	 * The link was lost before the attempt ended; what became of it is not known.
+	 * Called when the link was lost before the sidecar reported the end of the attempt.
+	 * The outcome is unknown.
 	 */
 	void lost();
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/CallerAnswer.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/CallerResponse.java
@@ -11,19 +11,20 @@
 import org.ragworthook.wire.message.Output;
 
 /**
- * The answer to one caller, put together from the pieces of all attempts.
+ * The HTTP response to one caller, assembled from the output of all attempts.
  * <p>
- * Pieces without text, such as the greeting of a stream, are held back until text or the
- * end follows. If an attempt breaks before its first text, the next attempt greets again,
- * and a caller that had already got the first greeting would see two.
+ * Output without text, such as the first event of a stream, which names the role, is
+ * buffered until text or the end of the response follows. If an attempt fails before its
+ * first text, the next attempt sends that event again, and a caller that had already
+ * received it would get it twice.
  */
-final class CallerAnswer {
+final class CallerResponse {
 
 	private static final int OK = 200;
 
 	private static final int NOT_FOUND = 404;
 
-	private static final long MOST_UNREAD_BYTES = 8 << 20;
+	private static final long MAX_UNREAD_BYTES = 8 << 20;
 
 	private static final Set<Integer> OVERLOADED = Set.of(429, 503);
 
@@ -35,13 +36,13 @@
 
 	private final boolean resumable;
 
-	private final List<Buffer> held = new ArrayList<>();
+	private final List<Buffer> pending = new ArrayList<>();
 
 	private final StringBuilder text = new StringBuilder();
 
 	private int tokens;
 
-	private long unread;
+	private long unreadBytes;
 
 	private int expectedOffset;
 
@@ -49,18 +50,18 @@
 
 	private String contentType = "";
 
-	CallerAnswer(HttpServerResponse response, boolean stream, boolean resumable) {
+	CallerResponse(HttpServerResponse response, boolean stream, boolean resumable) {
 		this.response = Objects.requireNonNull(response, "response is null");
 		this.stream = stream;
 		this.resumable = resumable;
 	}
 
 	/**
-	 * Begins to take the pieces of another attempt. What was held back of the one before
-	 * is dropped.
+	 * Prepares for the output of another attempt. Discards the buffered output of the
+	 * previous attempt.
 	 */
-	void nextAttempt() {
-		this.held.clear();
+	void startAttempt() {
+		this.pending.clear();
 		this.expectedOffset = 0;
 		if (!sent()) {
 			this.status = OK;
@@ -69,11 +70,11 @@
 	}
 
 	/**
-	 * Takes a piece.
-	 * @param output the piece
-	 * @return false if pieces before it are missing
+	 * Appends one output message of the current attempt, and ignores a repeated one.
+	 * @param output the output message
+	 * @return false if output messages before this one are missing
 	 */
-	boolean take(Output output) {
+	boolean append(Output output) {
 		if (output.getOffset() < this.expectedOffset) {
 			return true;
 		}
@@ -88,7 +89,7 @@
 			this.contentType = output.getContentType();
 		}
 		if (!output.getBody().isEmpty()) {
-			this.held.add(Buffer.buffer(output.getBody().toByteArray()));
+			this.pending.add(Buffer.buffer(output.getBody().toByteArray()));
 		}
 		if (this.stream && this.status == OK && (!this.resumable || !output.getText().isEmpty())) {
 			flush();
@@ -100,36 +101,35 @@
 		if (this.response.ended() || this.response.closed()) {
 			return;
 		}
-		head();
-		if (!this.held.isEmpty()) {
+		writeHead();
+		if (!this.pending.isEmpty()) {
 			if (!this.response.headWritten()) {
 				this.response.setChunked(true);
 			}
-			this.held.forEach(this::write);
-			this.held.clear();
+			this.pending.forEach(this::write);
+			this.pending.clear();
 		}
 	}
 
-	// What a caller does not read stays in this process's memory. The engine goes on all
-	// the same, so that a slow caller holds no slot; but one that has stopped reading
-	// must
-	// not take the memory of the others' answers.
-	private void write(Buffer piece) {
-		this.unread = this.response.writeQueueFull() ? this.unread + piece.length() : 0;
-		if (!stuck()) {
-			this.response.write(piece);
+	// Output that the caller has not read stays in this process's memory. The upstream is
+	// not slowed down, so a slow caller does not occupy a slot for longer. The limit
+	// protects the memory from callers that have stopped reading.
+	private void write(Buffer chunk) {
+		this.unreadBytes = this.response.writeQueueFull() ? this.unreadBytes + chunk.length() : 0;
+		if (!unreadLimitExceeded()) {
+			this.response.write(chunk);
 		}
 	}
 
 	/**
-	 * Tells whether the caller has left too much unread.
-	 * @return whether the answer is to be given up
+	 * Returns whether the output that the caller has not read exceeds the limit.
+	 * @return whether the response should be abandoned
 	 */
-	boolean stuck() {
-		return this.unread > MOST_UNREAD_BYTES;
+	boolean unreadLimitExceeded() {
+		return this.unreadBytes > MAX_UNREAD_BYTES;
 	}
 
-	private void head() {
+	private void writeHead() {
 		if (!this.response.headWritten()) {
 			this.response.setStatusCode(this.status);
 			if (!this.contentType.isEmpty()) {
@@ -139,51 +139,52 @@
 	}
 
 	/**
-	 * Ends the answer with all that is held.
+	 * Ends the response after writing all buffered output.
 	 */
 	void end() {
 		if (this.response.ended() || this.response.closed()) {
 			return;
 		}
-		head();
+		writeHead();
 		if (this.response.headWritten()) {
 			flush();
 			this.response.end();
 		}
 		else {
-			Buffer whole = Buffer.buffer();
-			this.held.forEach(whole::appendBuffer);
-			this.response.end(whole);
+			Buffer body = Buffer.buffer();
+			this.pending.forEach(body::appendBuffer);
+			this.response.end(body);
 		}
 	}
 
 	/**
-	 * Tells whether the caller has got any of the answer.
-	 * @return whether bytes were written
+	 * Returns whether any part of the response has been sent to the caller.
+	 * @return whether the response head has been written
 	 */
 	boolean sent() {
 		return this.response.headWritten();
 	}
 
 	/**
-	 * Tells whether the upstream only answered that it cannot answer now.
-	 * @return whether its status says so and the caller has got nothing yet
+	 * Returns whether the upstream rejected the request as overloaded or unavailable.
+	 * @return whether the status is a rejection and nothing has been sent to the caller
 	 */
 	boolean rejected() {
 		return !sent() && REJECTIONS.contains(this.status);
 	}
 
 	/**
-	 * Tells whether the upstream only answered that it does not know what was asked for.
-	 * @return whether its status says so and the caller has got nothing yet
+	 * Returns whether the upstream answered that the requested resource does not exist.
+	 * @return whether the status is 404 and nothing has been sent to the caller
 	 */
 	boolean notFound() {
 		return !sent() && this.status == NOT_FOUND;
 	}
 
 	/**
-	 * Tells whether the upstream is at its limit, which is no fault of it.
-	 * @return whether its status says so
+	 * Returns whether the upstream reported overload, which does not count as a failure
+	 * of the upstream.
+	 * @return whether the status is 429 or 503
 	 */
 	boolean overloaded() {
 		return OVERLOADED.contains(this.status);
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/EntryProcess.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/EntryProcess.java
@@ -48,7 +48,7 @@
 import org.ragworthook.wire.message.Lane;
 
 /**
- * The process that takes callers' requests.
+ * The entry process: accepts the requests of callers and forwards them to sidecars.
  */
 public final class EntryProcess implements DaemonProcess {
 
@@ -56,10 +56,10 @@
 
 	private static final int EVENT_LOOPS = 2;
 
-	private static final Duration LIST_REFRESH = Duration.ofSeconds(1);
+	private static final Duration LIST_REFRESH_INTERVAL = Duration.ofSeconds(1);
 
-	/** How long a balancer may take to see that an entry is not ready any more. */
-	private static final long FAREWELL_MILLIS = 1_000;
+	/** Time within which a load balancer notices that an entry is no longer ready. */
+	private static final long READINESS_PROPAGATION_MILLIS = 1_000;
 
 	private final Closer closer = Closer.empty();
 
@@ -77,7 +77,7 @@
 
 	private final List<HttpServer> servers = new CopyOnWriteArrayList<>();
 
-	private volatile boolean leaving;
+	private volatile boolean draining;
 
 	private EntryProcess(DaemonSettings settings) {
 		this.settings = settings;
@@ -89,30 +89,30 @@
 		Timers timers = VertxTimers.of(vertx);
 		HttpObjectStore store = this.closer
 			.add(HttpObjectStore.of(vertx, platform(settings.platform().objects(), settings)));
-		EndpointSliceList list = this.closer
+		EndpointSliceList instances = this.closer
 			.add(EndpointSliceList.of(vertx, platform(settings.platform().instances(), settings)));
-		Executor work = worker(vertx);
-		this.closer.add(ContractWatch.start(store, this.inForce, timers, new Random(), work,
+		Executor worker = worker(vertx);
+		this.closer.add(ContractWatch.start(store, this.inForce, timers, new Random(), worker,
 				(failure) -> LOG.debug("contract_unreadable", "error", failure)));
 		ErrorResponses errors = ErrorResponses.of(metrics);
-		PeerLinks peers = this.closer.add(PeerLinks.of(loops, list, timers, settings.link(),
+		PeerLinks peers = this.closer.add(PeerLinks.of(loops, instances, timers, settings.link(),
 				Certificates.links(vertx, settings), () -> hello(Lane.LANE_PEER)));
 		this.control = this.closer.add(ControlPart.builder(settings, this.instance, this.inForce)
 			.store(store)
 			.peers(peers)
-			.time(timers, work)
+			.time(timers, worker)
 			.errors(errors)
-			.drain(() -> this.leaving = true)
+			.drain(() -> this.draining = true)
 			.build());
-		UpstreamDirectory directory = this.closer.add(UpstreamDirectory.follow(vertx, self(), list, LIST_REFRESH, loops,
-				Certificates.links(vertx, settings), this::hello, this.control.lane()));
+		UpstreamDirectory directory = this.closer.add(UpstreamDirectory.follow(vertx, self(), instances,
+				LIST_REFRESH_INTERVAL, loops, Certificates.links(vertx, settings), this::hello, this.control.lane()));
 		RequestReader reader = RequestReader.of(this.inForce::contract, InstantSource.system());
 		this.online = this.closer
 			.add(OnlinePart.start(vertx, directory, reader, errors, metrics, settings.limits().requestBytes()));
 		this.batch = this.closer.add(BatchPart.start(vertx, settings, this.instance, store, directory, reader,
 				this.inForce::contract, errors));
-		ConvictionSharing.start(this.online, peers);
-		this.online.claims(ClaimDesk.start(store, peers, this.instance, settings.limits().shards()));
+		CrashRecordSharing.start(this.online, peers);
+		this.online.claims(ShardedRequestClaims.start(store, peers, this.instance, settings.limits().shards()));
 		peers.start();
 		this.control.start(directory::usage);
 		serve(vertx, metrics, errors);
@@ -120,8 +120,8 @@
 	}
 
 	/**
-	 * Starts an entry.
-	 * @param settings its settings
+	 * Starts an entry process.
+	 * @param settings the settings of the entry
 	 * @return the running process
 	 */
 	public static EntryProcess start(DaemonSettings settings) {
@@ -169,25 +169,26 @@
 	}
 
 	private boolean ready() {
-		return !this.leaving && this.inForce.contract().isPresent();
+		return !this.draining && this.inForce.contract().isPresent();
 	}
 
 	/**
-	 * Leaves gracefully: says that it is not ready, goes on serving until the balancer
-	 * has seen that, and ends when the requests in progress have.
+	 * Shuts down gracefully: reports that the entry is not ready, keeps serving until the
+	 * load balancer has noticed, and stops when the requests in progress have ended or
+	 * the drain time has passed.
 	 */
 	@Override
 	public void close() {
-		this.leaving = true;
+		this.draining = true;
 		LOG.info("entry_draining", "requests", this.online.inProgress());
 		int drainMillis = this.settings.limits().drainMillis();
 		try {
 			CompletableFuture<Void> handedOver = this.batch.leave();
-			Thread.sleep(Math.min(FAREWELL_MILLIS, drainMillis));
-			List<Future<Void>> stopping = this.servers.stream()
+			Thread.sleep(Math.min(READINESS_PROPAGATION_MILLIS, drainMillis));
+			List<Future<Void>> shutdowns = this.servers.stream()
 				.map((server) -> server.shutdown(drainMillis, TimeUnit.MILLISECONDS))
 				.toList();
-			Future.join(stopping).toCompletionStage().toCompletableFuture().get(drainMillis, TimeUnit.MILLISECONDS);
+			Future.join(shutdowns).toCompletionStage().toCompletableFuture().get(drainMillis, TimeUnit.MILLISECONDS);
 			this.online.drain().get(drainMillis, TimeUnit.MILLISECONDS);
 			handedOver.get(drainMillis, TimeUnit.MILLISECONDS);
 		}
@@ -205,7 +206,7 @@
 	}
 
 	/**
-	 * Serves HTTP on one event loop.
+	 * An HTTP server on one event loop.
 	 */
 	private final class HttpVerticle extends VerticleBase {
 
@@ -226,11 +227,11 @@
 			EntryProcess.this.online.mount(router);
 			EntryProcess.this.batch.mount(router);
 			this.errors.mount(router);
-			DaemonSettings own = EntryProcess.this.settings;
-			HttpServer server = this.vertx.createHttpServer(Certificates.http(own)).requestHandler(router);
+			DaemonSettings daemonSettings = EntryProcess.this.settings;
+			HttpServer server = this.vertx.createHttpServer(Certificates.http(daemonSettings)).requestHandler(router);
 			EntryProcess.this.servers.add(server);
-			return server.listen(own.http().port(), own.http().host())
-				.onSuccess((listening) -> Certificates.refresh(this.vertx, own, listening));
+			return server.listen(daemonSettings.http().port(), daemonSettings.http().host())
+				.onSuccess((listening) -> Certificates.refresh(this.vertx, daemonSettings, listening));
 		}
 
 	}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineAttempt.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineAttempt.java
@@ -11,8 +11,8 @@
 import org.ragworthook.wire.message.Run;
 
 /**
- * One attempt at an online request. Calls come on the link's thread and are handed over
- * to the request's context.
+ * One attempt at an online request. Hands the calls of the link's thread over to the
+ * request's context.
  */
 final class OnlineAttempt implements AttemptListener {
 
@@ -33,13 +33,13 @@
 	void start(Run newRun) {
 		this.run = newRun;
 		if (!this.sidecar.start(Lane.LANE_ONLINE, newRun, this)) {
-			this.exchange.inAttempt(this,
+			this.exchange.runIfCurrent(this,
 					() -> end(AttemptOutcome.RETURNED, Choice.Outcome.UNKNOWN, "the link was closed"));
 		}
 	}
 
 	/**
-	 * Gives the attempt up and frees its slot at the upstream.
+	 * Cancels the attempt at the sidecar and releases its slot at the upstream.
 	 */
 	void abandon() {
 		this.choice.release(Choice.Outcome.UNKNOWN);
@@ -48,48 +48,49 @@
 
 	@Override
 	public void output(Output output) {
-		this.exchange.inAttempt(this, () -> {
-			boolean first = !this.exchange.answer().sent();
-			if (!this.exchange.answer().take(output)) {
+		this.exchange.runIfCurrent(this, () -> {
+			boolean firstOutput = !this.exchange.response().sent();
+			if (!this.exchange.response().append(output)) {
 				this.sidecar.cancel(Lane.LANE_ONLINE, this.run.getRequest());
 				end(AttemptOutcome.INCOMPLETE, Choice.Outcome.FAILURE, "a piece of the answer was lost");
 			}
-			else if (this.exchange.answer().stuck()) {
-				this.exchange.callerStuck();
+			else if (this.exchange.response().unreadLimitExceeded()) {
+				this.exchange.callerNotReading();
 			}
-			else if (first && this.exchange.answer().sent()) {
-				this.exchange.firstOutput();
+			else if (firstOutput && this.exchange.response().sent()) {
+				this.exchange.firstOutputSent();
 			}
 		});
 	}
 
 	@Override
 	public void done(Done done) {
-		// Read before the hand-over: the sidecar's next run may greet in between.
-		boolean leaving = this.sidecar.leaving();
-		this.exchange.inAttempt(this, () -> ended(done, leaving));
+		// Read on the link's thread: by the time the task runs, a restarted sidecar may
+		// have connected and reset the flag.
+		boolean draining = this.sidecar.draining();
+		this.exchange.runIfCurrent(this, () -> handleDone(done, draining));
 	}
 
-	private void ended(Done done, boolean leaving) {
+	private void handleDone(Done done, boolean draining) {
 		switch (done.getOutcome()) {
-			case OUTCOME_ANSWERED -> answered();
-			case OUTCOME_NOT_PASSED_ON, OUTCOME_FENCED -> notPassedOn(done, leaving);
+			case OUTCOME_ANSWERED -> handleAnswered();
+			case OUTCOME_NOT_PASSED_ON, OUTCOME_FENCED -> handleNotPassedOn(done, draining);
 			case OUTCOME_CRASHED -> {
-				this.exchange.path().crashed(this.exchange.fingerprint(), done.getInFlight());
+				this.exchange.resources().recordCrash(this.exchange.fingerprint(), done.getInFlight());
 				end(AttemptOutcome.CRASHED, Choice.Outcome.FAILURE, done.getDetail());
 			}
 			default -> end(AttemptOutcome.INCOMPLETE, Choice.Outcome.FAILURE, done.getDetail());
 		}
 	}
 
-	private void answered() {
-		this.exchange.path().quarantine().recordAnswer(this.exchange.fingerprint());
-		if (!this.exchange.model().isEmpty() && this.exchange.answer().notFound()) {
-			lacksModel();
+	private void handleAnswered() {
+		this.exchange.resources().quarantine().recordAnswer(this.exchange.fingerprint());
+		if (!this.exchange.model().isEmpty() && this.exchange.response().notFound()) {
+			handleModelMissing();
 		}
-		else if (this.exchange.answer().rejected()) {
+		else if (this.exchange.response().rejected()) {
 			end(AttemptOutcome.REJECTED,
-					this.exchange.answer().overloaded() ? Choice.Outcome.UNKNOWN : Choice.Outcome.FAILURE,
+					this.exchange.response().overloaded() ? Choice.Outcome.UNKNOWN : Choice.Outcome.FAILURE,
 					"the upstream refused the request");
 		}
 		else {
@@ -97,20 +98,20 @@
 		}
 	}
 
-	// The contract has the model, so an engine that does not know it has not loaded it
-	// yet
-	// or not any more; others have. It ran nothing.
-	private void lacksModel() {
+	// The contract lists the model, so an upstream that does not know the model has not
+	// loaded it yet or has unloaded it. It ran nothing; other upstreams may have the
+	// model.
+	private void handleModelMissing() {
 		this.choice.upstream()
 			.modelMissing(this.exchange.model(),
-					this.exchange.path().ticker().nanos() + Upstream.MODEL_MISSING_TTL.toNanos());
+					this.exchange.resources().ticker().nanos() + Upstream.MODEL_MISSING_TTL.toNanos());
 		end(AttemptOutcome.NOT_PASSED_ON, Choice.Outcome.UNKNOWN, "the upstream does not hold the model");
 	}
 
-	// A sidecar that refuses for its own reasons, such as a full queue, says when to come
-	// back; one whose upstream is gone does not.
-	private void notPassedOn(Done done, boolean leaving) {
-		if (leaving) {
+	// A sidecar that refuses for a reason of its own, such as a full queue, sets a retry
+	// delay. A sidecar whose upstream is down does not.
+	private void handleNotPassedOn(Done done, boolean draining) {
+		if (draining) {
 			end(AttemptOutcome.RETURNED, Choice.Outcome.UNKNOWN, done.getDetail());
 		}
 		else if (done.getRetryAfterMillis() > 0) {
@@ -123,12 +124,12 @@
 
 	@Override
 	public void lost() {
-		this.exchange.inAttempt(this,
+		this.exchange.runIfCurrent(this,
 				() -> end(AttemptOutcome.LINK_LOST, Choice.Outcome.FAILURE, "the link to the sidecar was lost"));
 	}
 
-	private void end(AttemptOutcome outcome, Choice.Outcome fared, String detail) {
-		this.choice.release(fared);
+	private void end(AttemptOutcome outcome, Choice.Outcome routingOutcome, String detail) {
+		this.choice.release(routingOutcome);
 		this.exchange.attemptEnded(this.choice.upstream(), outcome, detail);
 	}
 
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineExchange.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineExchange.java
@@ -27,17 +27,17 @@
 import org.ragworthook.wire.message.Run;
 
 /**
- * One online request from its acceptance to its answer, over all attempts. Its state is
- * confined to the context of the caller's connection; what comes from links is handed
- * over to it.
+ * One online request from admission to the end of its response, over all attempts. Its
+ * state is confined to the Vert.x context of the caller's connection; calls from other
+ * threads are handed over to that context.
  */
 final class OnlineExchange {
 
-	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+	private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
-	private final OnlinePath path;
+	private final OnlineResources resources;
 
-	private final ServicePath service;
+	private final ServiceResources service;
 
 	private final OnlineRequest request;
 
@@ -45,9 +45,9 @@
 
 	private final Context context;
 
-	private final AccountGate account;
+	private final AccountGate accountGate;
 
-	private final CallerAnswer answer;
+	private final CallerResponse response;
 
 	private final Deadline deadline;
 
@@ -61,20 +61,20 @@
 
 	private int attempts;
 
-	private long timer;
+	private long deadlineTimer;
 
 	private boolean ended;
 
-	OnlineExchange(OnlinePath path, OnlineRequest request, RoutingContext routing, Context context) {
-		this.path = Objects.requireNonNull(path, "path is null");
+	OnlineExchange(OnlineResources resources, OnlineRequest request, RoutingContext routing, Context context) {
+		this.resources = Objects.requireNonNull(resources, "resources is null");
 		this.request = Objects.requireNonNull(request, "request is null");
 		this.routing = Objects.requireNonNull(routing, "routing is null");
 		this.context = Objects.requireNonNull(context, "context is null");
-		this.service = path.service(request.service().name());
-		this.account = path.account(request.account());
-		this.answer = new CallerAnswer(routing.response(), request.run().getStream(), request.resumable());
-		this.startNanos = path.ticker().nanos();
-		this.deadline = Deadline.after(path.ticker(), request.timeout());
+		this.service = resources.service(request.service().name());
+		this.accountGate = resources.accountGate(request.account());
+		this.response = new CallerResponse(routing.response(), request.run().getStream(), request.resumable());
+		this.startNanos = resources.ticker().nanos();
+		this.deadline = Deadline.after(resources.ticker(), request.timeout());
 	}
 
 	// -- admission
@@ -82,87 +82,93 @@
 	void start() {
 		Optional<Refusal> refusal = refusal();
 		if (refusal.isPresent()) {
-			this.path.errors().write(this.routing, refusal.get().error(), refusal.get().retryAfter());
+			this.resources.errors().write(this.routing, refusal.get().error(), refusal.get().retryAfter());
 			return;
 		}
-		this.path.begun();
-		this.timer = this.context.owner()
+		this.resources.requestStarted();
+		this.deadlineTimer = this.context.owner()
 			.setTimer(Math.max(1, this.request.timeout().toMillis()), (ignored) -> deadlinePassed());
-		this.routing.response().closeHandler((ignored) -> callerGone());
+		this.routing.response().closeHandler((ignored) -> callerDisconnected());
 		this.state = this.service.policy().begin(this.request.run().getRepeatable(), this.request.resumable());
 		if (this.request.needsClaim()) {
-			this.path.claims().claim(this.request).whenComplete((done, failure) -> onContext(() -> claimed(failure)));
+			this.resources.claims()
+				.claim(this.request)
+				.whenComplete((done, failure) -> onContext(() -> claimCompleted(failure)));
 		}
 		else {
-			enter();
+			attemptOrEnqueue();
 		}
 	}
 
 	private Optional<Refusal> refusal() {
-		Optional<Duration> quarantined = this.path.quarantine().remaining(this.request.run().getFingerprint());
+		Optional<Duration> quarantined = this.resources.quarantine().remaining(this.request.run().getFingerprint());
 		if (quarantined.isPresent()) {
 			return Optional.of(new Refusal(ErrorCode.REQUEST_QUARANTINED,
 					"the same request crashed the upstreams that ran it", quarantined.get()));
 		}
-		Optional<String> down = this.path.downDependency(this.request.service());
-		if (down.isPresent()) {
+		Optional<String> unavailable = this.resources.unavailableDependency(this.request.service());
+		if (unavailable.isPresent()) {
 			return Optional
-				.of(new Refusal(ErrorCode.REQUEST_NOT_RUN_DEPENDENCY, "service '" + this.request.service().name()
-						+ "' depends on '" + down.get() + "', which has no upstream", RETRY_AFTER));
+				.of(new Refusal(
+						ErrorCode.REQUEST_NOT_RUN_DEPENDENCY, "service '" + this.request.service().name()
+								+ "' depends on '" + unavailable.get() + "', which has no upstream",
+						DEFAULT_RETRY_AFTER));
 		}
-		return this.account.admit()
-			.map((over) -> new Refusal(ErrorCode.REQUEST_OVER_LIMIT,
-					"account '" + this.request.account().name() + "' is over its " + over.limit(), over.retryAfter()));
+		return this.accountGate.admit()
+			.map((exceeded) -> new Refusal(ErrorCode.REQUEST_OVER_LIMIT,
+					"account '" + this.request.account().name() + "' is over its " + exceeded.limit(),
+					exceeded.retryAfter()));
 	}
 
-	private void claimed(Throwable failure) {
+	private void claimCompleted(Throwable failure) {
 		if (failure != null) {
-			finish(() -> this.path.errors().write(this.routing, failure, RETRY_AFTER));
+			finish(() -> this.resources.errors().write(this.routing, failure, DEFAULT_RETRY_AFTER));
 		}
 		else {
-			enter();
+			attemptOrEnqueue();
 		}
 	}
 
-	private void enter() {
-		if (this.service.queue().busy()) {
-			await();
+	private void attemptOrEnqueue() {
+		if (this.service.queue().nonEmpty()) {
+			enqueue();
 			return;
 		}
 		Optional<Choice> choice = choose();
 		if (choice.isPresent() && choice.get().upstream().full()) {
 			choice.get().release(Choice.Outcome.UNKNOWN);
-			await();
+			enqueue();
 		}
 		else {
 			attempt(choice);
 		}
 	}
 
-	private void await() {
-		QueuedRequest<OnlineExchange> ticket = new QueuedRequest<>(this.request.account().name(),
+	private void enqueue() {
+		QueuedRequest<OnlineExchange> queuedRequest = new QueuedRequest<>(this.request.account().name(),
 				this.request.account().weight(), this.deadline.atNanos().orElse(Offer.NO_DEADLINE), this);
-		EnqueueResult<OnlineExchange> placing = this.service.queue().offer(ticket);
-		if (placing instanceof EnqueueResult.Refused<OnlineExchange> refused) {
-			overloaded(refused.retryAfter());
+		EnqueueResult<OnlineExchange> result = this.service.queue().offer(queuedRequest);
+		if (result instanceof EnqueueResult.Refused<OnlineExchange> refused) {
+			refuseOverloaded(refused.retryAfter());
 		}
-		else if (placing instanceof EnqueueResult.Queued<OnlineExchange> queued) {
+		else if (result instanceof EnqueueResult.Queued<OnlineExchange> queued) {
 			queued.shed()
 				.map(QueuedRequest::item)
-				.ifPresent((shed) -> shed.onContext(() -> shed.overloaded(queued.retryAfter())));
+				.ifPresent((shed) -> shed.onContext(() -> shed.refuseOverloaded(queued.retryAfter())));
 		}
 	}
 
-	private void overloaded(Duration retryAfter) {
-		finish(() -> this.path.errors()
+	private void refuseOverloaded(Duration retryAfter) {
+		finish(() -> this.resources.errors()
 			.write(this.routing, new RequestException(ErrorCode.REQUEST_NOT_RUN_OVERLOADED,
 					"every upstream of '" + this.request.service().name() + "' is at its limit"), retryAfter));
 	}
 
 	/**
-	 * It is this request's turn; it has left the queue. Called by any thread.
+	 * Called when this request has left the queue, on any thread. Starts an attempt,
+	 * which fails if no upstream is available or the deadline has passed.
 	 */
-	void turn() {
+	void dequeued() {
 		onContext(() -> attempt(choose()));
 	}
 
@@ -177,13 +183,13 @@
 	// -- attempts
 
 	private Optional<Choice> choose() {
-		RouteRequest wanted = RouteRequest.of(this.request.model(), this.request.prefix());
-		Optional<Choice> fresh = this.service.router().choose(wanted.without(this.tried));
-		if (fresh.isPresent() || this.tried.isEmpty()) {
-			return fresh;
+		RouteRequest routeRequest = RouteRequest.of(this.request.model(), this.request.prefix());
+		Optional<Choice> untried = this.service.router().choose(routeRequest.without(this.tried));
+		if (untried.isPresent() || this.tried.isEmpty()) {
+			return untried;
 		}
 		this.tried.clear();
-		return this.service.router().choose(wanted);
+		return this.service.router().choose(routeRequest);
 	}
 
 	private void attempt(Optional<Choice> choice) {
@@ -191,21 +197,21 @@
 			deadlinePassed();
 			return;
 		}
-		QuarantineState standing = this.path.quarantine().state(this.request.run().getFingerprint());
-		Optional<Sidecar> sidecar = choice.flatMap((chosen) -> this.path.sidecar(chosen.upstream()));
-		if (standing == QuarantineState.QUARANTINED || sidecar.isEmpty()) {
+		QuarantineState quarantineState = this.resources.quarantine().state(this.request.run().getFingerprint());
+		Optional<Sidecar> sidecar = choice.flatMap((chosen) -> this.resources.sidecar(chosen.upstream()));
+		if (quarantineState == QuarantineState.QUARANTINED || sidecar.isEmpty()) {
 			choice.ifPresent((chosen) -> chosen.release(Choice.Outcome.UNKNOWN));
-			fail((standing == QuarantineState.QUARANTINED) ? ErrorCode.REQUEST_QUARANTINED
+			fail((quarantineState == QuarantineState.QUARANTINED) ? ErrorCode.REQUEST_QUARANTINED
 					: this.service.policy().noUpstream(this.state).code(),
 					"no upstream of '" + this.request.service().name() + "' takes the request");
 			return;
 		}
 		this.attempts++;
 		this.tried.add(choice.get().upstream());
-		this.answer.nextAttempt();
+		this.response.startAttempt();
 		OnlineAttempt attempt = new OnlineAttempt(this, choice.get(), sidecar.get());
 		this.current = Optional.of(attempt);
-		attempt.start(run(standing == QuarantineState.SUSPECT));
+		attempt.start(run(quarantineState == QuarantineState.SUSPECT));
 	}
 
 	private Run run(boolean alone) {
@@ -214,18 +220,18 @@
 			.setAttempt(this.attempts)
 			.setAlone(alone)
 			.setDeadlineMillis(this.deadline.remainingMillis())
-			.setResumeText(this.answer.text())
-			.setResumeTokens(this.answer.tokens())
+			.setResumeText(this.response.text())
+			.setResumeTokens(this.response.tokens())
 			.build();
 	}
 
 	/**
-	 * Runs a task of an attempt, unless the attempt has been abandoned: its late frames
-	 * would mix with those of the next one.
-	 * @param attempt the attempt
-	 * @param task what to do on this request's context
+	 * Runs a task on this request's context if the attempt is still the current one. Late
+	 * frames of an abandoned attempt would otherwise mix with those of the next attempt.
+	 * @param attempt the attempt that the task belongs to
+	 * @param task the task to run
 	 */
-	void inAttempt(OnlineAttempt attempt, Runnable task) {
+	void runIfCurrent(OnlineAttempt attempt, Runnable task) {
 		onContext(() -> {
 			if (this.current.filter((running) -> running == attempt).isPresent()) {
 				task.run();
@@ -233,8 +239,8 @@
 		});
 	}
 
-	CallerAnswer answer() {
-		return this.answer;
+	CallerResponse response() {
+		return this.response;
 	}
 
 	String model() {
@@ -245,48 +251,50 @@
 		return this.request.run().getFingerprint();
 	}
 
-	OnlinePath path() {
-		return this.path;
+	OnlineResources resources() {
+		return this.resources;
 	}
 
 	/**
-	 * The caller has got its first bytes.
+	 * Called when the first bytes have been sent to the caller. Records the time to first
+	 * token.
 	 */
-	void firstOutput() {
-		record(this.path.metrics().firstToken(this.request.account().name(), "online"));
+	void firstOutputSent() {
+		record(this.resources.metrics().firstToken(this.request.account().name(), "online"));
 	}
 
-	private void record(Timer histogram) {
-		histogram.record(this.path.ticker().nanos() - this.startNanos, TimeUnit.NANOSECONDS);
+	private void record(Timer timer) {
+		timer.record(this.resources.ticker().nanos() - this.startNanos, TimeUnit.NANOSECONDS);
 	}
 
 	/**
-	 * The current attempt has ended.
-	 * @param upstream where it ran
-	 * @param outcome how it ended
-	 * @param detail what happened
+	 * Called when the current attempt has ended. Delivers the response, schedules another
+	 * attempt, or fails the request, as the retry policy decides.
+	 * @param upstream the upstream that the attempt was sent to
+	 * @param outcome how the attempt ended
+	 * @param detail the cause, for the error response
 	 */
 	void attemptEnded(Upstream upstream, AttemptOutcome outcome, String detail) {
 		this.current = Optional.empty();
-		this.service.queue().released(upstream);
-		this.state = this.state.after(outcome, this.answer.sent());
+		this.service.queue().requestEnded(upstream);
+		this.state = this.state.after(outcome, this.response.sent());
 		RetryDecision decision = this.service.policy().decide(this.state, outcome, this.deadline);
 		if (decision instanceof RetryDecision.Deliver) {
-			record(this.path.metrics().request(this.request.account().name(), "online"));
-			finish(this.answer::end);
+			record(this.resources.metrics().request(this.request.account().name(), "online"));
+			finish(this.response::end);
 		}
 		else if (decision instanceof RetryDecision.Retry retry) {
-			again(retry.delay());
+			scheduleAttempt(retry.delay());
 		}
 		else if (decision instanceof RetryDecision.Resume resume) {
-			again(resume.delay());
+			scheduleAttempt(resume.delay());
 		}
 		else if (decision instanceof RetryDecision.GiveUp giveUp) {
 			fail(giveUp.code(), detail);
 		}
 	}
 
-	private void again(Duration delay) {
+	private void scheduleAttempt(Duration delay) {
 		this.context.owner().setTimer(Math.max(1, delay.toMillis()), (ignored) -> onContext(() -> attempt(choose())));
 	}
 
@@ -296,17 +304,18 @@
 		if (this.ended) {
 			return;
 		}
-		// What a running attempt has done is not known yet, so it counts as passed on.
-		RequestState known = this.current.isPresent() ? this.state.after(AttemptOutcome.CANCELLED, this.answer.sent())
-				: this.state;
-		fail(this.service.policy().deadlineExceeded(known).code(),
+		// The outcome of a running attempt is unknown, so it counts as passed on.
+		RequestState stateAtDeadline = this.current.isPresent()
+				? this.state.after(AttemptOutcome.CANCELLED, this.response.sent()) : this.state;
+		fail(this.service.policy().deadlineExceeded(stateAtDeadline).code(),
 				"the deadline passed after " + this.request.timeout().toMillis() + " ms");
 	}
 
 	/**
-	 * A caller that has gone away would hold its slot until the answer is whole.
+	 * Called when the caller has closed its connection. Without this, the request would
+	 * occupy its slot until the upstream has generated the whole answer.
 	 */
-	private void callerGone() {
+	private void callerDisconnected() {
 		if (!this.ended) {
 			finish(() -> {
 			});
@@ -314,29 +323,31 @@
 	}
 
 	/**
-	 * The caller does not read; its connection is of no use any more.
+	 * Called when the caller has left too much of the response unread. Closes the
+	 * caller's connection.
 	 */
-	void callerStuck() {
+	void callerNotReading() {
 		finish(() -> this.routing.request().connection().close());
 	}
 
 	private void fail(ErrorCode code, String detail) {
-		Duration wait = (code == ErrorCode.REQUEST_QUARANTINED)
-				? this.path.quarantine().remaining(fingerprint()).orElse(RETRY_AFTER) : RETRY_AFTER;
-		finish(() -> this.path.errors().write(this.routing, new RequestException(code, detail), wait));
+		Duration retryAfter = (code == ErrorCode.REQUEST_QUARANTINED)
+				? this.resources.quarantine().remaining(fingerprint()).orElse(DEFAULT_RETRY_AFTER)
+				: DEFAULT_RETRY_AFTER;
+		finish(() -> this.resources.errors().write(this.routing, new RequestException(code, detail), retryAfter));
 	}
 
-	private void finish(Runnable last) {
+	private void finish(Runnable completion) {
 		if (this.ended) {
 			return;
 		}
 		this.ended = true;
-		this.context.owner().cancelTimer(this.timer);
+		this.context.owner().cancelTimer(this.deadlineTimer);
 		this.service.queue().withdraw(this);
 		this.current.ifPresent(OnlineAttempt::abandon);
-		this.account.release(this.answer.tokens());
-		last.run();
-		this.path.ended();
+		this.accountGate.release(this.response.tokens());
+		completion.run();
+		this.resources.requestEnded();
 	}
 
 	private record Refusal(RequestException error, Duration retryAfter) {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePart.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePart.java
@@ -15,25 +15,26 @@
 import org.ragworthook.daemon.http.Metrics;
 
 /**
- * The online requests of an entry.
+ * Serves the online requests of an entry.
  */
 public final class OnlinePart implements AutoCloseable {
 
-	private static final long SWEEP_MILLIS = 50;
+	private static final long SWEEP_INTERVAL_MILLIS = 50;
 
-	private static final Duration SUSPICION = Duration.ofMinutes(2);
+	private static final Duration SUSPECT_DURATION = Duration.ofMinutes(2);
 
-	private static final Duration QUARANTINE = Duration.ofMinutes(10);
+	private static final Duration QUARANTINE_DURATION = Duration.ofMinutes(10);
 
-	private static final int REMEMBERED = 10_000;
+	private static final int MAX_CRASH_RECORDS = 10_000;
 
 	private final Vertx vertx;
 
-	private final Quarantine quarantine = Quarantine.of(InstantSource.system(), SUSPICION, QUARANTINE, REMEMBERED);
+	private final Quarantine quarantine = Quarantine.of(InstantSource.system(), SUSPECT_DURATION, QUARANTINE_DURATION,
+			MAX_CRASH_RECORDS);
 
 	private final List<Consumer<CrashRecord>> listeners = new CopyOnWriteArrayList<>();
 
-	private final OnlinePath path;
+	private final OnlineResources resources;
 
 	private final OnlineRoutes routes;
 
@@ -42,21 +43,21 @@
 	private OnlinePart(Vertx vertx, UpstreamDirectory directory, RequestReader reader, ErrorResponses errors,
 			Metrics metrics, int requestBytes) {
 		this.vertx = vertx;
-		this.path = new OnlinePath(directory, this.quarantine,
-				(conviction) -> this.listeners.forEach((listener) -> listener.accept(conviction)), errors, metrics);
-		this.routes = new OnlineRoutes(reader, this.path, requestBytes);
-		this.timer = vertx.setPeriodic(SWEEP_MILLIS, (ignored) -> this.path.sweep());
+		this.resources = new OnlineResources(directory, this.quarantine,
+				(crashRecord) -> this.listeners.forEach((listener) -> listener.accept(crashRecord)), errors, metrics);
+		this.routes = new OnlineRoutes(reader, this.resources, requestBytes);
+		this.timer = vertx.setPeriodic(SWEEP_INTERVAL_MILLIS, (ignored) -> this.resources.sweep());
 	}
 
 	/**
-	 * Starts to take online requests, once mounted.
-	 * @param vertx carries timers
-	 * @param directory where to send them
-	 * @param reader reads and checks them
-	 * @param errors answers with errors
-	 * @param metrics takes latencies
-	 * @param requestBytes the largest body
-	 * @return the part
+	 * Starts the online part. It serves requests once its routes are mounted.
+	 * @param vertx the Vert.x instance, for timers
+	 * @param directory the upstreams that requests are sent to
+	 * @param reader reads and checks requests
+	 * @param errors writes error responses
+	 * @param metrics records latencies
+	 * @param requestBytes the maximum size of a request body in bytes
+	 * @return the online part
 	 */
 	public static OnlinePart start(Vertx vertx, UpstreamDirectory directory, RequestReader reader,
 			ErrorResponses errors, Metrics metrics, int requestBytes) {
@@ -65,50 +66,50 @@
 
 	/**
 	 * Adds the routes of online requests.
-	 * @param router where to add them
+	 * @param router the router to add the routes to
 	 */
 	public void mount(Router router) {
 		this.routes.mount(router);
 	}
 
 	/**
-	 * Returns what is known of requests that crash upstreams.
-	 * @return the quarantine, to be merged with those of other entries
+	 * Returns the quarantine of requests that crash upstreams.
+	 * @return the quarantine, which the crash records of other entries are merged into
 	 */
 	public Quarantine quarantine() {
 		return this.quarantine;
 	}
 
 	/**
-	 * Adds a listener for what other entries are to be told of.
-	 * @param listener takes what this entry has found out, on any thread
+	 * Adds a listener for crash records to send to other entries.
+	 * @param listener receives each new crash record of this entry, on any thread
 	 */
-	public void onConviction(Consumer<CrashRecord> listener) {
+	public void onCrashRecord(Consumer<CrashRecord> listener) {
 		this.listeners.add(listener);
 	}
 
 	/**
-	 * Sets where requests that may run only once are recorded.
-	 * @param claims the record
+	 * Sets the claims of idempotency keys. Until this is called, every claim is refused.
+	 * @param claims the claims
 	 */
 	void claims(RequestClaims claims) {
-		this.path.claims(claims);
+		this.resources.claims(claims);
 	}
 
 	/**
-	 * Waits for the requests in progress.
-	 * @return completes when none is left
+	 * Waits until no request is in progress.
+	 * @return a future that completes when the last request in progress has ended
 	 */
 	public CompletableFuture<Void> drain() {
-		return this.path.drain();
+		return this.resources.drain();
 	}
 
 	/**
-	 * Returns how many requests are in progress.
-	 * @return a count
+	 * Returns the number of requests in progress.
+	 * @return the number of requests
 	 */
 	public int inProgress() {
-		return this.path.inProgress();
+		return this.resources.inProgress();
 	}
 
 	@Override
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineRequest.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineRequest.java
@@ -9,21 +9,21 @@
 import org.ragworthook.wire.message.Run;
 
 /**
- * An online request that has been checked.
+ * An online request that has been checked against the contract.
  *
- * @param account who sent it
- * @param service what is to answer it
- * @param run the request as it goes to a sidecar, without attempt
- * @param timeout how long the caller waits for the whole answer
- * @param model the model that it names, or the empty text for a plain service
- * @param resumable whether an upstream can go on after part of the answer
- * @param prefix the key of the prompt's beginning, if it has one
+ * @param account the account that sent the request
+ * @param service the service that the request is for
+ * @param run the request as sent to a sidecar, without the fields of an attempt
+ * @param timeout the time within which the caller expects the whole answer
+ * @param model the requested model, or the empty string for a plain service
+ * @param resumable whether another upstream can continue a partial answer
+ * @param prefix the key of the prompt's prefix, or empty if the prompt has no key
  */
 public record OnlineRequest(Account account, Service service, Run run, Duration timeout, String model,
 		boolean resumable, OptionalLong prefix) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public OnlineRequest {
 		Objects.requireNonNull(account, "account is null");
@@ -35,8 +35,9 @@
 	}
 
 	/**
-	 * Tells whether the request must be recorded before it is passed on.
-	 * @return whether it bears an idempotency key and may not be repeated
+	 * Returns whether the idempotency key must be claimed before the request is passed
+	 * on.
+	 * @return whether the request has an idempotency key and may not be repeated
 	 */
 	boolean needsClaim() {
 		return !this.run.getRepeatable() && !this.run.getIdempotencyKey().isEmpty();
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlinePath.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineResources.java
@@ -19,15 +19,15 @@
 import org.ragworthook.daemon.http.Metrics;
 
 /**
- * What all online requests of an entry share.
+ * Resources shared by all online requests of an entry.
  */
-final class OnlinePath {
+final class OnlineResources {
 
 	private final UpstreamDirectory directory;
 
 	private final Quarantine quarantine;
 
-	private final Consumer<CrashRecord> convicted;
+	private final Consumer<CrashRecord> crashListener;
 
 	private final ErrorResponses errors;
 
@@ -35,9 +35,9 @@
 
 	private final Ticker ticker = Ticker.system();
 
-	private final AccountGates accounts;
+	private final AccountGates accountGates;
 
-	private final Map<String, ServicePath> services = new ConcurrentHashMap<>();
+	private final Map<String, ServiceResources> services = new ConcurrentHashMap<>();
 
 	private final AtomicInteger inProgress = new AtomicInteger();
 
@@ -45,36 +45,36 @@
 
 	private volatile CompletableFuture<Void> drained;
 
-	OnlinePath(UpstreamDirectory directory, Quarantine quarantine, Consumer<CrashRecord> convicted,
+	OnlineResources(UpstreamDirectory directory, Quarantine quarantine, Consumer<CrashRecord> crashListener,
 			ErrorResponses errors, Metrics metrics) {
 		this.directory = Objects.requireNonNull(directory, "directory is null");
 		this.quarantine = Objects.requireNonNull(quarantine, "quarantine is null");
-		this.convicted = Objects.requireNonNull(convicted, "convicted is null");
+		this.crashListener = Objects.requireNonNull(crashListener, "crashListener is null");
 		this.errors = Objects.requireNonNull(errors, "errors is null");
 		this.metrics = Objects.requireNonNull(metrics, "metrics is null");
-		this.accounts = new AccountGates(this.ticker, directory::entries);
+		this.accountGates = new AccountGates(this.ticker, directory::entries);
 	}
 
-	ServicePath service(String name) {
-		ServicePath known = this.services.get(name);
-		return (known != null) ? known : this.services.computeIfAbsent(name,
-				(service) -> ServicePath.of(this.ticker, this.directory.router(service)));
+	ServiceResources service(String name) {
+		ServiceResources existing = this.services.get(name);
+		return (existing != null) ? existing : this.services.computeIfAbsent(name,
+				(service) -> ServiceResources.of(this.ticker, this.directory.router(service)));
 	}
 
 	Optional<Sidecar> sidecar(Upstream upstream) {
 		return this.directory.sidecar(upstream);
 	}
 
-	AccountGate account(Account account) {
-		return this.accounts.of(account);
+	AccountGate accountGate(Account account) {
+		return this.accountGates.of(account);
 	}
 
 	/**
-	 * Returns a service that another one cannot answer without and that has no upstream.
-	 * @param service the service that depends on others
-	 * @return the name of the first that is down
+	 * Returns the first dependency of a service that has no upstream.
+	 * @param service the dependent service
+	 * @return the name of the unavailable dependency, or empty if all have upstreams
 	 */
-	Optional<String> downDependency(Service service) {
+	Optional<String> unavailableDependency(Service service) {
 		return service.dependsOn()
 			.stream()
 			.filter((name) -> this.directory.router(name).table().size() == 0)
@@ -93,38 +93,38 @@
 		return this.quarantine;
 	}
 
-	void crashed(String fingerprint, int inFlight) {
-		this.quarantine.recordCrash(fingerprint, inFlight).ifPresent(this.convicted);
+	void recordCrash(String fingerprint, int inFlight) {
+		this.quarantine.recordCrash(fingerprint, inFlight).ifPresent(this.crashListener);
 	}
 
 	void sweep() {
 		this.services.values().forEach((service) -> service.queue().sweep());
 	}
 
-	// -- stopping
+	// -- requests in progress
 
-	void begun() {
+	void requestStarted() {
 		this.inProgress.incrementAndGet();
 	}
 
-	void ended() {
-		CompletableFuture<Void> waiting = this.drained;
-		if (this.inProgress.decrementAndGet() == 0 && waiting != null) {
-			waiting.complete(null);
+	void requestEnded() {
+		CompletableFuture<Void> future = this.drained;
+		if (this.inProgress.decrementAndGet() == 0 && future != null) {
+			future.complete(null);
 		}
 	}
 
 	/**
-	 * Waits for the requests in progress.
-	 * @return completes when none is left
+	 * Waits until no request is in progress.
+	 * @return a future that completes when the last request in progress has ended
 	 */
 	CompletableFuture<Void> drain() {
-		CompletableFuture<Void> waiting = new CompletableFuture<>();
-		this.drained = waiting;
+		CompletableFuture<Void> future = new CompletableFuture<>();
+		this.drained = future;
 		if (this.inProgress.get() == 0) {
-			waiting.complete(null);
+			future.complete(null);
 		}
-		return waiting;
+		return future;
 	}
 
 	int inProgress() {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineRoutes.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/OnlineRoutes.java
@@ -13,21 +13,22 @@
 import org.ragworthook.core.contract.Service;
 
 /**
- * The callers' online interface: OpenAI-compatible generation and plain services by path.
+ * The HTTP routes of online requests: the OpenAI-compatible API for text generation, and
+ * plain services by path.
  */
 final class OnlineRoutes {
 
-	private static final String SERVICES = "/services/";
+	private static final String SERVICES_PREFIX = "/services/";
 
 	private final RequestReader reader;
 
-	private final OnlinePath path;
+	private final OnlineResources resources;
 
 	private final int requestBytes;
 
-	OnlineRoutes(RequestReader reader, OnlinePath path, int requestBytes) {
+	OnlineRoutes(RequestReader reader, OnlineResources resources, int requestBytes) {
 		this.reader = Objects.requireNonNull(reader, "reader is null");
-		this.path = Objects.requireNonNull(path, "path is null");
+		this.resources = Objects.requireNonNull(resources, "resources is null");
 		this.requestBytes = requestBytes;
 	}
 
@@ -36,7 +37,7 @@
 		for (String generation : new String[] { "/v1/chat/completions", "/v1/completions" }) {
 			router.post(generation).handler(body()).handler((routing) -> run(routing, this.reader::generation));
 		}
-		router.route(SERVICES + "*").handler(body()).handler((routing) -> run(routing, this::plain));
+		router.route(SERVICES_PREFIX + "*").handler(body()).handler((routing) -> run(routing, this::plain));
 	}
 
 	private BodyHandler body() {
@@ -44,15 +45,15 @@
 	}
 
 	private OnlineRequest plain(RoutingContext routing) {
-		String rest = routing.request().uri().substring(SERVICES.length());
-		int slash = rest.indexOf('/');
-		String name = (slash < 0) ? rest : rest.substring(0, slash);
-		return this.reader.plain(routing, name, (slash < 0) ? "/" : rest.substring(slash));
+		String serviceAndPath = routing.request().uri().substring(SERVICES_PREFIX.length());
+		int slash = serviceAndPath.indexOf('/');
+		String name = (slash < 0) ? serviceAndPath : serviceAndPath.substring(0, slash);
+		return this.reader.plain(routing, name, (slash < 0) ? "/" : serviceAndPath.substring(slash));
 	}
 
 	private void run(RoutingContext routing, Function<RoutingContext, OnlineRequest> read) {
 		OnlineRequest request = read.apply(routing);
-		new OnlineExchange(this.path, request, routing, Vertx.currentContext()).start();
+		new OnlineExchange(this.resources, request, routing, Vertx.currentContext()).start();
 	}
 
 	private void models(RoutingContext routing) {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/RequestReader.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/RequestReader.java
@@ -32,21 +32,22 @@
 import org.ragworthook.wire.message.Run;
 
 /**
- * Reads and checks callers' requests against the contract in force.
+ * Reads the requests of callers and checks them against the contract in force.
  */
 public final class RequestReader {
 
 	/**
-	 * The header that names how many milliseconds the caller waits for the whole answer.
+	 * The header with the time in milliseconds within which the caller expects the whole
+	 * answer.
 	 */
 	public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
-	/** The header that marks resends of one request. */
+	/** The header with a key that is the same for all resends of a request. */
 	public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-	private static final int PROMPT_HEAD = 1024;
+	private static final int PROMPT_PREFIX_CHARS = 1024;
 
-	private static final String BEARER = "Bearer ";
+	private static final String BEARER_PREFIX = "Bearer ";
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -61,8 +62,8 @@
 
 	/**
 	 * Returns a reader.
-	 * @param contract the contract in force
-	 * @param clock the wall clock, for answers' creation times
+	 * @param contract returns the contract in force, or empty if there is none yet
+	 * @param clock the wall clock, for the creation times of answers
 	 * @return the reader
 	 */
 	public static RequestReader of(Supplier<Optional<Contract>> contract, InstantSource clock) {
@@ -80,22 +81,22 @@
 	}
 
 	/**
-	 * Returns whose request it is.
+	 * Returns the account that sent a request.
 	 * @param request the request
 	 * @return the account
-	 * @throws AccessException if the key is missing or unknown
+	 * @throws AccessException if the API key is missing or unknown
 	 */
 	public Account account(HttpServerRequest request) {
 		String header = request.getHeader(HttpHeaders.AUTHORIZATION);
-		if (header == null || !header.startsWith(BEARER)) {
+		if (header == null || !header.startsWith(BEARER_PREFIX)) {
 			throw new AccessException(ErrorCode.ACCESS_UNKNOWN_KEY, "no key was given");
 		}
-		return contract().accountOfKey(header.substring(BEARER.length()).strip())
+		return contract().accountOfKey(header.substring(BEARER_PREFIX.length()).strip())
 			.orElseThrow(() -> new AccessException(ErrorCode.ACCESS_UNKNOWN_KEY, "the key is not known"));
 	}
 
 	/**
-	 * Reads a request for generated text.
+	 * Reads a text generation request.
 	 * @param routing the request with its body
 	 * @return the request
 	 * @throws RequestException if it is malformed or names an unknown model
@@ -120,14 +121,14 @@
 				Generation.resumable(parsed, chat), PrefixKey.of(model, prompt(parsed, chat)));
 	}
 
-	// The beginning is long enough to tell the prompt's leading blocks.
+	// Returns enough of the prompt for the blocks that the prefix key hashes.
 	private static String prompt(JsonNode body, boolean chat) {
 		if (!chat) {
 			return body.path("prompt").asText("");
 		}
 		StringBuilder prompt = new StringBuilder();
 		for (JsonNode message : body.path("messages")) {
-			if (prompt.length() >= PROMPT_HEAD) {
+			if (prompt.length() >= PROMPT_PREFIX_CHARS) {
 				break;
 			}
 			prompt.append(message.path("role").asText("")).append(message.path("content").asText(""));
@@ -138,8 +139,8 @@
 	/**
 	 * Reads a request to a plain service.
 	 * @param routing the request with its body
-	 * @param name the service
-	 * @param path the path at the service, with its query
+	 * @param name the name of the service
+	 * @param path the path at the service, with the query string
 	 * @return the request
 	 * @throws RequestException if the service is unknown
 	 */
@@ -170,15 +171,15 @@
 	}
 
 	/**
-	 * Returns what is the same for requests that are the same.
-	 * @param path the path
-	 * @param body the body
-	 * @return hex digits
+	 * Returns a hash that is equal for requests with the same path and body.
+	 * @param path the path of the request
+	 * @param body the body of the request
+	 * @return the fingerprint, 32 hexadecimal digits
 	 */
 	public static String fingerprint(String path, byte[] body) {
-		long[] ofPath = MurmurHash3.hash128x64(path.getBytes(StandardCharsets.UTF_8));
-		long[] ofBody = MurmurHash3.hash128x64(body);
-		return String.format("%016x%016x", ofPath[0] ^ ofBody[0], ofBody[1]);
+		long[] pathHash = MurmurHash3.hash128x64(path.getBytes(StandardCharsets.UTF_8));
+		long[] bodyHash = MurmurHash3.hash128x64(body);
+		return String.format("%016x%016x", pathHash[0] ^ bodyHash[0], bodyHash[1]);
 	}
 
 	private static Buffer body(RoutingContext routing) {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ServiceQueue.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ServiceQueue.java
@@ -15,8 +15,9 @@
 import org.ragworthook.core.time.Ticker;
 
 /**
- * Requests of one service that wait because each of its upstreams has as many as it runs.
- * The lock is taken only while some wait.
+ * The queue of requests of one service that wait because every upstream is at its
+ * concurrency limit. While the queue is empty, requests that start or end do not take the
+ * lock.
  */
 final class ServiceQueue {
 
@@ -34,17 +35,18 @@
 	}
 
 	/**
-	 * Tells whether requests wait. One that comes now must not overtake them.
-	 * @return whether the queue is in use
+	 * Returns whether requests wait. A new request must then be queued too, so that it
+	 * does not overtake them.
+	 * @return whether the queue holds any request
 	 */
-	boolean busy() {
+	boolean nonEmpty() {
 		return this.size > 0;
 	}
 
-	synchronized EnqueueResult<OnlineExchange> offer(QueuedRequest<OnlineExchange> ticket) {
-		EnqueueResult<OnlineExchange> placing = this.queue.offer(ticket);
+	synchronized EnqueueResult<OnlineExchange> offer(QueuedRequest<OnlineExchange> queuedRequest) {
+		EnqueueResult<OnlineExchange> result = this.queue.offer(queuedRequest);
 		this.size = this.queue.size();
-		return placing;
+		return result;
 	}
 
 	synchronized void withdraw(OnlineExchange exchange) {
@@ -58,53 +60,57 @@
 		return this.queue.retryAfter();
 	}
 
-	private synchronized Optional<OnlineExchange> next() {
+	private synchronized Optional<OnlineExchange> poll() {
 		Optional<QueuedRequest<OnlineExchange>> first = this.queue.poll();
 		this.size = this.queue.size();
 		return first.map(QueuedRequest::item);
 	}
 
 	/**
-	 * Learns that an upstream has ended a request.
+	 * Called when a request has ended at an upstream. Dequeues the next request if the
+	 * upstream has a free slot.
 	 * @param upstream the upstream
 	 */
-	void released(Upstream upstream) {
+	void requestEnded(Upstream upstream) {
 		this.queue.requestEnded();
 		if (this.size > 0 && !upstream.full()) {
-			next().ifPresent(OnlineExchange::turn);
+			poll().ifPresent(OnlineExchange::dequeued);
 		}
 	}
 
 	/**
-	 * Gives turns for the room that reports have shown since, and takes out what waited
-	 * too long.
+	 * Removes the requests whose deadline has passed, and dequeues as many requests as
+	 * the upstreams have free slots. Slots also become free without a call to
+	 * {@link #requestEnded}: load reports of the sidecars show slots that other entries
+	 * have freed.
 	 */
 	void sweep() {
 		if (this.size == 0) {
 			return;
 		}
-		expired().forEach(OnlineExchange::turn);
+		removeExpired().forEach(OnlineExchange::dequeued);
 		RouteTable table = this.router.table();
-		int room = table.upstreams()
+		int freeSlots = table.upstreams()
 			.stream()
 			.mapToInt((upstream) -> Math.max(0, upstream.limit() - upstream.load()))
 			.sum();
-		List<OnlineExchange> turns = new ArrayList<>();
-		// Without any upstream none will get room; each then gives its own answer.
-		for (int i = 0; i < ((table.size() == 0) ? CAPACITY : room); i++) {
-			Optional<OnlineExchange> first = next();
+		List<OnlineExchange> polled = new ArrayList<>();
+		// Without an upstream no slot will become free, so every request is dequeued and
+		// fails with its own error.
+		for (int i = 0; i < ((table.size() == 0) ? CAPACITY : freeSlots); i++) {
+			Optional<OnlineExchange> first = poll();
 			if (first.isEmpty()) {
 				break;
 			}
-			turns.add(first.get());
+			polled.add(first.get());
 		}
-		turns.forEach(OnlineExchange::turn);
+		polled.forEach(OnlineExchange::dequeued);
 	}
 
-	private synchronized List<OnlineExchange> expired() {
-		List<OnlineExchange> late = this.queue.removeExpired().stream().map(QueuedRequest::item).toList();
+	private synchronized List<OnlineExchange> removeExpired() {
+		List<OnlineExchange> expired = this.queue.removeExpired().stream().map(QueuedRequest::item).toList();
 		this.size = this.queue.size();
-		return late;
+		return expired;
 	}
 
 }
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ClaimDesk.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/ShardedRequestClaims.java
@@ -24,15 +24,15 @@
 import org.ragworthook.daemon.peer.PeerLinks;
 
 /**
- * Records idempotency keys with the owner of their shard, which may be this entry or
- * another. Who the owner is is read from its lease and is only a hint: should two entries
- * believe it of themselves, the log of claims lets one of them write.
+ * Claims idempotency keys at the entry that owns the key's shard, which may be this
+ * entry. The owner is read from the shard's lease, which is only a hint: if two entries
+ * consider themselves the owner, the claim log lets only one of them write.
  */
-final class ClaimDesk implements RequestClaims {
+final class ShardedRequestClaims implements RequestClaims {
 
 	private static final String VERB = "claim";
 
-	private static final Duration PATIENCE = Duration.ofSeconds(3);
+	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
 
 	private final ObjectStore store;
 
@@ -46,7 +46,7 @@
 
 	private final Map<Lease, CompletableFuture<ClaimLog>> logs = new ConcurrentHashMap<>();
 
-	private ClaimDesk(ObjectStore store, PeerLinks peers, String instance, int shards) {
+	private ShardedRequestClaims(ObjectStore store, PeerLinks peers, String instance, int shards) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.peers = Objects.requireNonNull(peers, "peers is null");
 		this.instance = Objects.requireNonNull(instance, "instance is null");
@@ -55,17 +55,17 @@
 	}
 
 	/**
-	 * Starts to take claims, this entry's and those that other entries send to it.
-	 * @param store where claims are recorded
+	 * Starts to serve claims of this entry and of other entries.
+	 * @param store the store that holds the leases and the claim logs
 	 * @param peers the links to the other entries
-	 * @param instance this run of the entry
-	 * @param shards over how many shards claims are spread
+	 * @param instance the unique name of this run of the entry
+	 * @param shards the number of shards that keys are spread over
 	 * @return the claims
 	 */
-	static ClaimDesk start(ObjectStore store, PeerLinks peers, String instance, int shards) {
-		ClaimDesk desk = new ClaimDesk(store, peers, instance, shards);
-		peers.handle(VERB, (peer, body) -> desk.asked(new JsonObject(body.toStringUtf8())));
-		return desk;
+	static ShardedRequestClaims start(ObjectStore store, PeerLinks peers, String instance, int shards) {
+		ShardedRequestClaims claims = new ShardedRequestClaims(store, peers, instance, shards);
+		peers.handle(VERB, (peer, body) -> claims.handleCall(new JsonObject(body.toStringUtf8())));
+		return claims;
 	}
 
 	@Override
@@ -73,10 +73,10 @@
 		ClaimKey key = ClaimKey.of(request.account().name(), request.run().getIdempotencyKey());
 		String fingerprint = request.run().getFingerprint();
 		return lease(key).thenCompose((lease) -> lease.holder().equals(this.instance) ? record(lease, key, fingerprint)
-				: ask(lease.holder(), key, fingerprint))
+				: callOwner(lease.holder(), key, fingerprint))
 			.handle((done, failure) -> {
 				if (failure != null) {
-					throw refusal(failure);
+					throw toRequestException(failure);
 				}
 				return null;
 			});
@@ -85,21 +85,21 @@
 	private CompletableFuture<Lease> lease(ClaimKey key) {
 		String name = "batch-" + key.shard(this.shards);
 		return this.store.read(Lease.key(name))
-			.thenApply((found) -> found.map((stored) -> Lease.parse(name, stored.text()))
+			.thenApply((existing) -> existing.map((stored) -> Lease.parse(name, stored.text()))
 				.filter((lease) -> !lease.released())
 				.orElseThrow(() -> new RequestException(ErrorCode.REQUEST_NOT_RUN_NO_RECORD,
 						"the shard of the idempotency key has no owner")));
 	}
 
-	private CompletableFuture<Void> ask(String owner, ClaimKey key, String fingerprint) {
+	private CompletableFuture<Void> callOwner(String owner, ClaimKey key, String fingerprint) {
 		JsonObject body = new JsonObject().put("key", key.hex()).put("fingerprint", fingerprint);
-		return this.peers.call(owner, VERB, ByteString.copyFromUtf8(body.encode()), PATIENCE)
+		return this.peers.call(owner, VERB, ByteString.copyFromUtf8(body.encode()), CALL_TIMEOUT)
 			.thenApply((granted) -> null);
 	}
 
-	// -- the owner's side
+	// -- serving as the owner of a shard
 
-	private CompletableFuture<ByteString> asked(JsonObject body) {
+	private CompletableFuture<ByteString> handleCall(JsonObject body) {
 		ClaimKey key = new ClaimKey(body.getString("key"));
 		return lease(key).thenCompose((lease) -> record(lease, key, body.getString("fingerprint")))
 			.thenApply((granted) -> ByteString.EMPTY);
@@ -117,18 +117,19 @@
 				this.logs.remove(lease, log);
 			}
 		});
-		return log.thenCompose((opened) -> opened.claim(key, fingerprint)).thenAccept(ClaimDesk::granted);
+		return log.thenCompose((opened) -> opened.claim(key, fingerprint))
+			.thenAccept(ShardedRequestClaims::requireGranted);
 	}
 
-	private static void granted(Optional<ClaimAnswer> answer) {
+	private static void requireGranted(Optional<ClaimAnswer> answer) {
 		if (answer.isPresent()) {
 			throw new RequestException(ErrorCode.REQUEST_KEY_TAKEN, "the request has been answered");
 		}
 	}
 
-	// Whatever went wrong, this entry does not pass the request on, so that "not run" is
-	// true of it unless the key was taken before.
-	private static RequestException refusal(Throwable failure) {
+	// After any failure this entry does not pass the request on, so "not run" is correct
+	// unless the key had been claimed before.
+	private static RequestException toRequestException(Throwable failure) {
 		Throwable cause = Failures.root(failure);
 		if (cause instanceof RagworthookException known
 				&& (known.code() == ErrorCode.REQUEST_KEY_TAKEN || known.code() == ErrorCode.REQUEST_KEY_REUSED)) {
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Sidecar.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/Sidecar.java
@@ -26,8 +26,8 @@
 import org.ragworthook.wire.message.Run;
 
 /**
- * A sidecar as an entry sees it: its links, how busy it says it is, and what this entry
- * has running there.
+ * A sidecar from the view of an entry: the links to the sidecar, the load that it last
+ * reported, and the attempts of this entry that run there.
  */
 public final class Sidecar implements AutoCloseable {
 
@@ -49,7 +49,7 @@
 
 	private volatile Load load = Load.getDefaultInstance();
 
-	private volatile boolean leaving;
+	private volatile boolean draining;
 
 	private volatile Remote remote;
 
@@ -65,19 +65,20 @@
 	/**
 	 * Connects to a sidecar.
 	 * @param instance the sidecar as the platform lists it
-	 * @param loops the threads of the links
-	 * @param options how links behave
-	 * @param hello makes the greeting for each lane
-	 * @param control takes what comes on the control lane
-	 * @param observer learns when the sidecar can take online requests and when not
-	 * @return the sidecar, connecting
+	 * @param loops the event loops of the links
+	 * @param options the options of the links
+	 * @param hello returns the first message to send on the link of a lane
+	 * @param control receives the frames and state changes of the control lane
+	 * @param observer called when the sidecar becomes available for online requests or
+	 * unavailable
+	 * @return the sidecar, with its links still connecting
 	 */
 	static Sidecar connect(Instance instance, EventLoopGroup loops, LinkOptions options, Function<Lane, Hello> hello,
 			LinkListener control, Observer observer) {
 		Sidecar sidecar = new Sidecar(instance, control, observer);
 		for (Lane lane : LANES) {
 			sidecar.closer.add(LinkClient.connect(loops, instance.link(), options, () -> hello.apply(lane),
-					sidecar.new Listening(sidecar.lanes.get(lane))));
+					sidecar.new LaneListener(sidecar.lanes.get(lane))));
 		}
 		return sidecar;
 	}
@@ -91,34 +92,35 @@
 	}
 
 	/**
-	 * Returns the sidecar as it greeted.
-	 * @return the process at the other end, or empty before the first link was open
+	 * Returns the sidecar process as it described itself when a link was last opened.
+	 * @return the process at the other end of the links, or empty before the first link
+	 * was open
 	 */
 	public Optional<Remote> remote() {
 		return Optional.ofNullable(this.remote);
 	}
 
 	/**
-	 * Returns the service that its upstream serves.
-	 * @return the service's name
+	 * Returns the service that the sidecar's upstream serves.
+	 * @return the name of the service
 	 */
 	public String service() {
-		Remote greeted = this.remote;
-		return (greeted != null) ? greeted.service() : this.instance.service();
+		Remote peer = this.remote;
+		return (peer != null) ? peer.service() : this.instance.service();
 	}
 
 	/**
-	 * Tells whether new requests can be sent.
-	 * @param lane online or batch
-	 * @return whether the lane's link is open and the sidecar does not leave
+	 * Returns whether the sidecar accepts new requests.
+	 * @param lane the online or the batch lane
+	 * @return whether the lane's link is open and the sidecar is not draining
 	 */
 	public boolean accepts(Lane lane) {
 		Link link = this.lanes.get(lane).link;
-		return !this.leaving && link != null && link.open();
+		return !this.draining && link != null && link.open();
 	}
 
 	/**
-	 * Returns how busy the sidecar last said it is. The report lags.
+	 * Returns the load that the sidecar last reported, which lags behind the actual load.
 	 * @return the load
 	 */
 	public Load load() {
@@ -126,73 +128,75 @@
 	}
 
 	/**
-	 * Returns the upstream as a router chooses it.
-	 * @return the upstream behind this sidecar
+	 * Returns the upstream behind this sidecar, as used by routers.
+	 * @return the upstream
 	 */
 	public Upstream upstream() {
 		return this.upstream;
 	}
 
 	/**
-	 * Tells whether the sidecar has said that it leaves.
-	 * @return whether its present run leaves
+	 * Returns whether the sidecar has announced that it is draining.
+	 * @return whether the current run of the sidecar is draining
 	 */
-	public boolean leaving() {
-		return this.leaving;
+	public boolean draining() {
+		return this.draining;
 	}
 
 	/**
-	 * Sends a request.
-	 * @param lane online or batch
+	 * Sends an attempt at a request.
+	 * @param lane the online or the batch lane
 	 * @param run the request
-	 * @param exchange takes the answer
-	 * @return whether it was handed to a link; if not, the exchange gets no call
+	 * @param listener receives the output and the end of the attempt
+	 * @return whether the request was handed to a link; if not, the listener is not
+	 * called
 	 */
-	public boolean start(Lane lane, Run run, AttemptListener exchange) {
+	public boolean start(Lane lane, Run run, AttemptListener listener) {
 		LaneState state = this.lanes.get(lane);
 		Link link = state.link;
-		if (link == null || this.leaving) {
+		if (link == null || this.draining) {
 			return false;
 		}
 		String key = key(run.getRequest(), run.getAttempt());
-		state.exchanges.put(key, exchange);
+		state.listeners.put(key, listener);
 		if (link.send(Frame.newBuilder().setRun(run).build())) {
 			if (!link.open()) {
-				lost(state, key);
+				reportLost(state, key);
 			}
 			return true;
 		}
-		return state.exchanges.remove(key) == null;
+		return state.listeners.remove(key) == null;
 	}
 
 	/**
-	 * Ends an exchange whose link was closed between the look at it and the sending. The
-	 * link's own end may have missed the exchange; the map decides which of the two
-	 * reports the loss.
-	 * @param state the lane's state
-	 * @param key the request and its attempt
+	 * Reports an attempt as lost, once. If a link is closed while a request is being
+	 * sent, {@link LaneListener#closed} may run before the attempt is registered; so both
+	 * this sending and the closing report the loss, and removal from the map lets only
+	 * one of them call the listener.
+	 * @param state the state of the lane
+	 * @param key the key of the attempt
 	 */
-	private void lost(LaneState state, String key) {
-		AttemptListener exchange = state.exchanges.remove(key);
-		if (exchange != null) {
-			exchange.lost();
+	private void reportLost(LaneState state, String key) {
+		AttemptListener listener = state.listeners.remove(key);
+		if (listener != null) {
+			listener.lost();
 		}
 	}
 
 	/**
-	 * Cancels a request. Its outcome is still told to its exchange.
-	 * @param lane on which it was sent
-	 * @param request the request
+	 * Cancels a request. Its listener is still called with the outcome.
+	 * @param lane the lane on which the request was sent
+	 * @param request the id of the request
 	 */
 	public void cancel(Lane lane, String request) {
 		send(lane, Frame.newBuilder().setCancel(Cancel.newBuilder().setRequest(request)).build());
 	}
 
 	/**
-	 * Sends a frame that is no request.
-	 * @param lane on which to send it
+	 * Sends a frame that is not a request.
+	 * @param lane the lane to send the frame on
 	 * @param frame the frame
-	 * @return whether the lane's link was open
+	 * @return whether the frame was handed to the lane's link
 	 */
 	public boolean send(Lane lane, Frame frame) {
 		Link link = this.lanes.get(lane).link;
@@ -214,109 +218,110 @@
 	}
 
 	/**
-	 * Learns when a sidecar can take online requests and when not, on the link's thread.
+	 * Called when a sidecar becomes available for online requests or unavailable, on the
+	 * link's thread.
 	 */
 	interface Observer {
 
 		/**
-		 * The online lane is open.
+		 * Called when the link of the online lane has been opened.
 		 * @param sidecar the sidecar
 		 * @param remote the process at the other end
 		 */
-		void linked(Sidecar sidecar, Remote remote);
+		void linkOpened(Sidecar sidecar, Remote remote);
 
 		/**
-		 * The sidecar says that it leaves.
+		 * Called when the sidecar has announced that it is draining.
 		 * @param sidecar the sidecar
 		 * @param remote the process at the other end
 		 */
-		void leaving(Sidecar sidecar, Remote remote);
+		void drainAnnounced(Sidecar sidecar, Remote remote);
 
 		/**
-		 * The online lane is lost.
+		 * Called when the link of the online lane has been lost.
 		 * @param sidecar the sidecar
 		 */
-		void lost(Sidecar sidecar);
+		void linkLost(Sidecar sidecar);
 
 	}
 
 	/**
-	 * The link of one lane and what runs on it.
+	 * The link of one lane and the attempts that run on it.
 	 */
 	private static final class LaneState {
 
-		private final Map<String, AttemptListener> exchanges = new ConcurrentHashMap<>();
+		private final Map<String, AttemptListener> listeners = new ConcurrentHashMap<>();
 
 		private volatile Link link;
 
 	}
 
 	/**
-	 * Takes what happens on the link of one lane.
+	 * Handles the frames and state changes of the link of one lane.
 	 */
-	private final class Listening implements LinkListener {
+	private final class LaneListener implements LinkListener {
 
 		private final LaneState state;
 
-		private Listening(LaneState state) {
+		private LaneListener(LaneState state) {
 			this.state = state;
 		}
 
 		@Override
 		public void opened(Link link) {
 			Sidecar.this.remote = link.remote();
-			load(link.remote().load());
-			Sidecar.this.leaving = link.remote().leaving();
+			updateLoad(link.remote().load());
+			Sidecar.this.draining = link.remote().leaving();
 			this.state.link = link;
 			if (link.lane() == Lane.LANE_CONTROL) {
 				Sidecar.this.control.opened(link);
 			}
 			else if (link.lane() == Lane.LANE_ONLINE) {
-				Sidecar.this.observer.linked(Sidecar.this, link.remote());
+				Sidecar.this.observer.linkOpened(Sidecar.this, link.remote());
 			}
 		}
 
 		@Override
 		public void received(Link link, Frame frame) {
 			switch (frame.getBodyCase()) {
-				case OUTPUT -> output(frame);
-				case DONE -> done(frame.getDone());
-				case LOAD -> load(frame.getLoad());
-				case LEAVING -> leaving(link);
+				case OUTPUT -> handleOutput(frame);
+				case DONE -> handleDone(frame.getDone());
+				case LOAD -> updateLoad(frame.getLoad());
+				case LEAVING -> handleLeaving(link);
 				default -> Sidecar.this.control.received(link, frame);
 			}
 		}
 
-		private void output(Frame frame) {
-			AttemptListener exchange = this.state.exchanges
+		private void handleOutput(Frame frame) {
+			AttemptListener listener = this.state.listeners
 				.get(key(frame.getOutput().getRequest(), frame.getOutput().getAttempt()));
-			if (exchange != null) {
-				exchange.output(frame.getOutput());
+			if (listener != null) {
+				listener.output(frame.getOutput());
 			}
 		}
 
-		private void load(Load reported) {
+		private void updateLoad(Load reported) {
 			Sidecar.this.load = reported;
 			Sidecar.this.upstream.loadReported(reported.getOnlineRunning() + reported.getOnlineQueued(),
 					reported.getLimit());
 		}
 
-		private void done(Done done) {
-			load(done.getLoad());
-			AttemptListener exchange = this.state.exchanges.remove(key(done.getRequest(), done.getAttempt()));
-			if (exchange != null) {
-				exchange.done(done);
+		private void handleDone(Done done) {
+			updateLoad(done.getLoad());
+			AttemptListener listener = this.state.listeners.remove(key(done.getRequest(), done.getAttempt()));
+			if (listener != null) {
+				listener.done(done);
 			}
 		}
 
 		/**
-		 * The platform's list says late that an instance leaves; its own word comes at
-		 * once.
-		 * @param link the link on which it came
+		 * Called when the sidecar announces that it is draining. The announcement arrives
+		 * earlier than the same information in the platform's list.
+		 * @param link the link that the announcement was received on
 		 */
-		private void leaving(Link link) {
-			Sidecar.this.leaving = true;
-			Sidecar.this.observer.leaving(Sidecar.this, link.remote());
+		private void handleLeaving(Link link) {
+			Sidecar.this.draining = true;
+			Sidecar.this.observer.drainAnnounced(Sidecar.this, link.remote());
 			LOG.info("sidecar_leaving", "instance", link.remote().instance());
 		}
 
@@ -324,9 +329,9 @@
 		public void closed(Link link) {
 			this.state.link = null;
 			if (link.lane() == Lane.LANE_ONLINE) {
-				Sidecar.this.observer.lost(Sidecar.this);
+				Sidecar.this.observer.linkLost(Sidecar.this);
 			}
-			List.copyOf(this.state.exchanges.keySet()).forEach((key) -> Sidecar.this.lost(this.state, key));
+			List.copyOf(this.state.listeners.keySet()).forEach((key) -> Sidecar.this.reportLost(this.state, key));
 			if (link.lane() == Lane.LANE_CONTROL) {
 				Sidecar.this.control.closed(link);
 			}
--- a/modules/daemon/src/main/java/org/ragworthook/daemon/entry/UpstreamDirectory.java
+++ b/modules/daemon/src/main/java/org/ragworthook/daemon/entry/UpstreamDirectory.java
@@ -34,8 +34,9 @@
 import org.ragworthook.wire.message.Lane;
 
 /**
- * The sidecars that this entry is linked to, and a router for each service over those
- * that take online requests. It follows the platform's list and the links themselves.
+ * The sidecars that this entry is linked to, and for each service a router over the
+ * upstreams that accept online requests. Both are kept up to date from the platform's
+ * instance list and from the state of the links.
  */
 public final class UpstreamDirectory implements AutoCloseable, Sidecar.Observer {
 
@@ -83,16 +84,16 @@
 	}
 
 	/**
-	 * Starts to follow the list.
-	 * @param vertx carries the timer
+	 * Starts to follow the platform's instance list.
+	 * @param vertx the Vert.x instance, for the timer
 	 * @param self this entry
-	 * @param list the platform's list
-	 * @param refresh how often the list is read
-	 * @param loops the threads of the links
-	 * @param options how links behave
-	 * @param hello makes the greeting for each lane
-	 * @param control takes what comes on the control lanes
-	 * @return the directory, empty at first
+	 * @param list the platform's instance list
+	 * @param refresh the interval between reads of the list
+	 * @param loops the event loops of the links
+	 * @param options the options of the links
+	 * @param hello returns the first message to send on the link of a lane
+	 * @param control receives the frames and state changes of the control lanes
+	 * @return the directory, initially empty
 	 */
 	public static UpstreamDirectory follow(Vertx vertx, Instance self, InstanceList list, Duration refresh,
 			EventLoopGroup loops, LinkOptions options, Function<Lane, Hello> hello, LinkListener control) {
@@ -102,7 +103,7 @@
 	}
 
 	/**
-	 * Returns the sidecars that this entry links to.
+	 * Returns the sidecars that this entry has links to.
 	 * @return an immutable snapshot
 	 */
 	public List<Sidecar> sidecars() {
@@ -110,8 +111,9 @@
 	}
 
 	/**
-	 * Returns how much of each upstream its online requests use, as last reported.
-	 * @return the usage by the sidecar's instance
+	 * Returns the online load and the concurrency limit of each upstream, as last
+	 * reported.
+	 * @return the usage by the instance name that the sidecar sent
 	 */
 	public Map<String, UpstreamUsage> usage() {
 		Map<String, UpstreamUsage> usage = new HashMap<>();
@@ -124,9 +126,9 @@
 	}
 
 	/**
-	 * Returns the sidecar before an upstream.
+	 * Returns the sidecar in front of an upstream.
 	 * @param upstream an upstream that a router of this directory chose
-	 * @return the sidecar, or empty if it has gone since
+	 * @return the sidecar, or empty if it has been removed since
 	 */
 	public Optional<Sidecar> sidecar(Upstream upstream) {
 		return Optional.ofNullable(this.byUpstream.get(upstream));
@@ -135,23 +137,24 @@
 	/**
 	 * Returns the router of a service.
 	 * @param service the name of the service
-	 * @return its router, without upstreams if none is known
+	 * @return the router, without upstreams if the service has none
 	 */
 	public Router router(String service) {
 		return this.routers.computeIfAbsent(service, (name) -> Router.of(Ticker.system()));
 	}
 
 	/**
-	 * Returns how many entries there are by the platform's list.
-	 * @return at least one
+	 * Returns the number of entries in the platform's list.
+	 * @return the number of entries, at least one
 	 */
 	public int entries() {
 		return Math.max(1, this.entries.size());
 	}
 
 	/**
-	 * Returns the entries that are not leaving, by the platform's list.
-	 * @return the addresses of their links
+	 * Returns the link addresses of the entries that the platform's list does not show as
+	 * leaving.
+	 * @return the addresses
 	 */
 	public Set<String> entryAddresses() {
 		return this.entries.stream()
@@ -163,8 +166,8 @@
 	// -- the platform's list
 
 	/**
-	 * While the list cannot be read the sidecars stay as they are: their links tell which
-	 * of them are there.
+	 * Reads the list and applies it. While the list cannot be read, the sidecars are
+	 * kept: the state of their links shows which of them are reachable.
 	 */
 	private void refresh() {
 		this.list.instances().whenComplete((instances, failure) -> {
@@ -184,7 +187,7 @@
 		this.entries = instances.stream().filter((instance) -> instance.role() == Role.ENTRY).toList();
 		Members members = this.membership
 			.instancesListed(instances.stream().filter((instance) -> instance.role() == Role.SIDECAR).toList());
-		Map<Address, Instance> wanted = subset(members.linkTargets());
+		Map<Address, Instance> wanted = selectSubset(members.linkTargets());
 		List.copyOf(this.byAddress.keySet())
 			.stream()
 			.filter((address) -> !wanted.containsKey(address))
@@ -197,15 +200,15 @@
 		publish(this.membership.members());
 	}
 
-	private Map<Address, Instance> subset(List<Instance> sidecars) {
+	private Map<Address, Instance> selectSubset(List<Instance> sidecars) {
 		Instance listedSelf = this.entries.stream()
 			.filter((entry) -> entry.link().equals(this.self.link()))
 			.findFirst()
 			.orElse(this.self);
 		Map<Address, Instance> chosen = new HashMap<>();
 		Map<String, List<Instance>> byService = sidecars.stream().collect(Collectors.groupingBy(Instance::service));
-		for (List<Instance> ofService : byService.values()) {
-			Set<Instance> linked = this.subset.of(listedSelf, this.entries, ofService);
+		for (List<Instance> serviceSidecars : byService.values()) {
+			Set<Instance> linked = this.subset.of(listedSelf, this.entries, serviceSidecars);
 			linked.forEach((instance) -> chosen.put(instance.link(), instance));
 		}
 		return chosen;
@@ -214,17 +217,17 @@
 	// -- the links
 
 	@Override
-	public synchronized void linked(Sidecar sidecar, Remote remote) {
+	public synchronized void linkOpened(Sidecar sidecar, Remote remote) {
 		publish(this.membership.linkOpened(sidecar.instance(), remote.instance(), remote.leaving()));
 	}
 
 	@Override
-	public synchronized void leaving(Sidecar sidecar, Remote remote) {
+	public synchronized void drainAnnounced(Sidecar sidecar, Remote remote) {
 		publish(this.membership.drainAnnounced(sidecar.instance().link(), remote.instance()));
 	}
 
 	@Override
-	public synchronized void lost(Sidecar sidecar) {
+	public synchronized void linkLost(Sidecar sidecar) {
 		publish(this.membership.linkLost(sidecar.instance().link()));
 	}
 
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/entry/OnlineFailureTests.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/entry/OnlineFailureTests.java
@@ -21,7 +21,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of online requests while something fails.
+ * Tests of online requests during failures of engines, sidecars, callers and the
+ * platform.
  */
 class OnlineFailureTests {
 
@@ -36,62 +37,63 @@
 		this.fleet.close();
 	}
 
-	private static String masked(HttpResponse<String> answer) {
+	private static String withoutGeneratedFields(HttpResponse<String> answer) {
 		return answer.body().replaceAll("chatcmpl-[0-9a-f]+", "ID").replaceAll("\"created\":\\d+", "\"created\":0");
 	}
 
-	private String undisturbed(FakeUpstream upstream, boolean stream) {
+	private String bodyWithoutFailure(FakeUpstream upstream, boolean stream) {
 		CompletableFuture<HttpResponse<String>> answer = this.caller.chat("hello", stream);
 		upstream.next().greet().tokens("a", "b", "c", "d").finish();
-		HttpResponse<String> whole = Caller.await(answer);
-		assertThat(whole.statusCode()).isEqualTo(200);
-		return masked(whole);
+		HttpResponse<String> response = Caller.await(answer);
+		assertThat(response.statusCode()).isEqualTo(200);
+		return withoutGeneratedFields(response);
 	}
 
 	/**
-	 * An engine dies while it answers, after any number of tokens. The caller must get
-	 * the same bytes as if nothing had happened: no token missing, doubled or foreign.
+	 * An engine crashes after it has generated any number of tokens, and the request is
+	 * resumed on another engine. The caller must receive the same response as without the
+	 * crash, with no token missing, repeated or added.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "true, 0", "true, 1", "true, 3", "false, 0", "false, 2" })
-	void shouldCompleteAnswerWhoseEngineDied(boolean stream, int tokensBefore) {
-		FakeUpstream first = this.fleet.served("desk", 4);
-		String expected = undisturbed(first, stream);
+	void shouldCompleteResponseAfterEngineCrash(boolean stream, int tokensBefore) {
+		FakeUpstream first = this.fleet.listedUpstream("desk", 4);
+		String expected = bodyWithoutFailure(first, stream);
 		String[] tokens = { "a", "b", "c", "d" };
 		CompletableFuture<HttpResponse<String>> answer = this.caller.chat("hello", stream);
-		FakeCall broken = first.next().greet();
-		FakeUpstream second = this.fleet.served("desk", 4);
+		FakeCall interrupted = first.next().greet();
+		FakeUpstream second = this.fleet.listedUpstream("desk", 4);
 		for (int i = 0; i < tokensBefore; i++) {
-			broken.tokens(tokens[i]);
+			interrupted.tokens(tokens[i]);
 		}
 		first.crash();
 		FakeCall resumed = second.next();
-		String passedOn = resumed.resumed();
-		assertThat("abcd").startsWith(passedOn);
+		String resumedText = resumed.resumed();
+		assertThat("abcd").startsWith(resumedText);
 		resumed.greet();
-		for (int i = passedOn.length(); i < tokens.length; i++) {
+		for (int i = resumedText.length(); i < tokens.length; i++) {
 			resumed.tokens(tokens[i]);
 		}
 		resumed.finish();
-		assertThat(masked(Caller.await(answer))).isEqualTo(expected);
+		assertThat(withoutGeneratedFields(Caller.await(answer))).isEqualTo(expected);
 	}
 
 	/**
-	 * A sidecar is lost after it has taken a request. Its machine may vanish without a
-	 * word, so that its connections look open, or close them. The answer must be resumed
-	 * on another one either way.
+	 * A sidecar is lost while it runs a request. Its connections either stay half-open,
+	 * as when its machine fails, or are closed. In both cases the request must be resumed
+	 * at another sidecar.
 	 */
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void shouldCompleteAnswerWhoseSidecarWasLost(boolean halfOpen) {
+	void shouldCompleteResponseAfterSidecarWasLost(boolean halfOpen) {
 		FakeUpstream first = this.fleet.upstream();
 		SidecarProcess sidecar = this.fleet.sidecar("desk", first, 4);
 		FrozenProxy proxy = new FrozenProxy(this.fleet.vertx(), sidecar.linkAddress());
 		this.fleet.list("desk", proxy.address());
-		String expected = undisturbed(first, true);
+		String expected = bodyWithoutFailure(first, true);
 		CompletableFuture<HttpResponse<String>> answer = this.caller.chat("hello", true);
 		first.next().greet().tokens("a", "b");
-		FakeUpstream second = this.fleet.served("desk", 4);
+		FakeUpstream second = this.fleet.listedUpstream("desk", 4);
 		if (halfOpen) {
 			proxy.freeze();
 		}
@@ -100,25 +102,26 @@
 		}
 		FakeCall resumed = second.next();
 		resumed.greet().tokens("abcd".substring(resumed.resumed().length()).split("")).finish();
-		assertThat(masked(Caller.await(answer))).isEqualTo(expected);
+		assertThat(withoutGeneratedFields(Caller.await(answer))).isEqualTo(expected);
 		proxy.close();
 	}
 
 	/**
-	 * A booking is lost in each possible way. It must not be made twice, and the caller
-	 * must not be told that it was not made unless that is sure.
+	 * A non-idempotent request fails, either before it was passed on to the upstream or
+	 * after. It must not run twice, and the error must say "not run" only if the request
+	 * was certainly not passed on.
 	 */
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void shouldNotRepeatBooking(boolean passedOn) {
-		FakeUpstream first = this.fleet.served("bookings", 4);
+	void shouldNotRepeatNonIdempotentRequest(boolean passedOn) {
+		FakeUpstream first = this.fleet.listedUpstream("bookings", 4);
 		if (!passedOn) {
 			first.crash();
 		}
 		CompletableFuture<HttpResponse<String>> answer = this.caller.post("/services/bookings/book", "{}");
 		if (passedOn) {
 			FakeCall booking = first.next();
-			this.fleet.served("bookings", 4);
+			this.fleet.listedUpstream("bookings", 4);
 			booking.breakOff();
 		}
 		HttpResponse<String> refused = Caller.await(answer);
@@ -128,13 +131,13 @@
 	}
 
 	/**
-	 * A booking reaches a sidecar whose upstream is down. Nothing was passed on, so it is
-	 * made at the other upstream, once.
+	 * A non-idempotent request reaches a sidecar whose upstream is down. It was not
+	 * passed on, so it must be retried at the other upstream and run there once.
 	 */
 	@Test
-	void shouldMakeBookingElsewhereIfNotPassedOn() {
-		this.fleet.served("bookings", 4).crash();
-		FakeUpstream second = this.fleet.served("bookings", 4);
+	void shouldRetryNonIdempotentRequestThatWasNotPassedOn() {
+		this.fleet.listedUpstream("bookings", 4).crash();
+		FakeUpstream second = this.fleet.listedUpstream("bookings", 4);
 		for (int i = 0; i < 6; i++) {
 			CompletableFuture<HttpResponse<String>> answer = this.caller.post("/services/bookings/book", "{}");
 			second.next().answer(201, "{}");
@@ -144,12 +147,13 @@
 	}
 
 	/**
-	 * A booking bears an idempotency key, and the store is out, so that the key cannot be
-	 * recorded. To run it could make it twice; the caller is told that it was not run.
+	 * A non-idempotent request has an idempotency key, but the key's shard has no owner,
+	 * so the key cannot be claimed. Running the request could run it twice; it must be
+	 * refused with an error that says that it was not run.
 	 */
 	@Test
-	void shouldRefuseKeyedBookingWithoutRecord() {
-		FakeUpstream upstream = this.fleet.served("bookings", 4);
+	void shouldRefuseKeyedRequestIfClaimCannotBeWritten() {
+		FakeUpstream upstream = this.fleet.listedUpstream("bookings", 4);
 		HttpResponse<String> refused = Caller
 			.await(this.caller.post("/services/bookings/book", "{}", "Idempotency-Key", "k1"));
 		assertThat(Caller.error(refused)).isEqualTo("request_not_run_no_record");
@@ -157,15 +161,16 @@
 	}
 
 	/**
-	 * A booking's answer is lost, and its caller sends it again, to the same entry or to
-	 * another. It must not be made twice; a new booking with another key must be made.
+	 * A caller loses the response to a non-idempotent request and sends the request again
+	 * with the same idempotency key, to the same entry or to another. The request must
+	 * not run twice, and a request with another key must run.
 	 */
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void shouldMakeKeyedBookingOnceAtAnyEntry(boolean ownerFirst) {
+	void shouldRunKeyedRequestOnceAcrossEntries(boolean ownerFirst) {
 		TestFleet.TestEntry other = this.fleet.entry();
-		FakeUpstream upstream = this.fleet.served("bookings", 4);
-		this.entry.own();
+		FakeUpstream upstream = this.fleet.listedUpstream("bookings", 4);
+		this.entry.ownAllShards();
 		TestFleet.await(() -> other.peers().contains(this.entry.id()));
 		Caller first = ownerFirst ? this.caller : other.caller();
 		Caller second = ownerFirst ? other.caller() : this.caller;
@@ -173,24 +178,25 @@
 				"k1");
 		upstream.next().answer(201, "{}");
 		assertThat(Caller.await(answer).statusCode()).isEqualTo(201);
-		for (Caller again : new Caller[] { first, second }) {
+		for (Caller resender : new Caller[] { first, second }) {
 			HttpResponse<String> refused = Caller
-				.await(again.post("/services/bookings/book", "{}", "Idempotency-Key", "k1"));
+				.await(resender.post("/services/bookings/book", "{}", "Idempotency-Key", "k1"));
 			assertThat(Caller.error(refused)).isEqualTo("request_key_taken");
 		}
-		CompletableFuture<HttpResponse<String>> fresh = second.post("/services/bookings/book", "{}", "Idempotency-Key",
-				"k2");
+		CompletableFuture<HttpResponse<String>> otherKey = second.post("/services/bookings/book", "{}",
+				"Idempotency-Key", "k2");
 		upstream.next().answer(201, "{}");
-		assertThat(Caller.await(fresh).statusCode()).isEqualTo(201);
+		assertThat(Caller.await(otherKey).statusCode()).isEqualTo(201);
 		assertThat(upstream.count()).isEqualTo(2);
 	}
 
 	/**
-	 * A caller hangs up. Its slot must be free for the next one at once.
+	 * A caller disconnects while its request runs. The slot must become free for the next
+	 * request at once.
 	 */
 	@Test
-	void shouldFreeSlotOfCallerThatWentAway() {
-		FakeUpstream upstream = this.fleet.served("desk", 1);
+	void shouldFreeSlotOfDisconnectedCaller() {
+		FakeUpstream upstream = this.fleet.listedUpstream("desk", 1);
 		CompletableFuture<HttpResponse<String>> gone = this.caller.chat("first", true);
 		FakeCall abandoned = upstream.next().greet().tokens("a");
 		gone.cancel(true);
@@ -201,13 +207,14 @@
 	}
 
 	/**
-	 * A caller does not read its answer, as on a bad line. The answer must not hold the
-	 * engine's slot until it is read, and must be whole when the caller does read.
+	 * A caller is slow to read its response, as on a poor connection. The request must
+	 * not occupy the engine's slot until the response has been read, and the response
+	 * must be complete when the caller reads it.
 	 */
 	@Test
 	void shouldNotHoldSlotForSlowCaller() throws IOException {
-		FakeUpstream upstream = this.fleet.served("desk", 1);
-		try (Socket slow = slowCaller()) {
+		FakeUpstream upstream = this.fleet.listedUpstream("desk", 1);
+		try (Socket slow = connectWithoutReading()) {
 			FakeCall call = upstream.next().greet();
 			for (int i = 0; i < 40; i++) {
 				call.tokens("x".repeat(100_000));
@@ -223,13 +230,13 @@
 	}
 
 	/**
-	 * A caller has stopped reading for good, and its answer goes on without end. It must
-	 * be cut off before it fills the entry's memory.
+	 * A caller never reads a response that grows without end. The entry must cancel the
+	 * request before the unread output exhausts the entry's memory.
 	 */
 	@Test
-	void shouldCutOffCallerThatNeverReads() throws IOException {
-		FakeUpstream upstream = this.fleet.served("desk", 1);
-		try (Socket stuck = slowCaller()) {
+	void shouldCloseConnectionOfCallerThatNeverReads() throws IOException {
+		FakeUpstream upstream = this.fleet.listedUpstream("desk", 1);
+		try (Socket stuck = connectWithoutReading()) {
 			FakeCall call = upstream.next().greet();
 			for (int i = 0; i < 40; i++) {
 				call.tokens("x".repeat(1_000_000));
@@ -239,7 +246,7 @@
 		}
 	}
 
-	private Socket slowCaller() throws IOException {
+	private Socket connectWithoutReading() throws IOException {
 		String body = "{\"model\":\"m\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"slow\"}]}";
 		Socket socket = new Socket("127.0.0.1", this.entry.port());
 		socket.getOutputStream()
@@ -251,14 +258,15 @@
 	}
 
 	/**
-	 * An engine has crashed and refuses connections while it restarts. Refusals come
-	 * quickly, so it looks like the idlest of all; callers would be told that their
-	 * requests were not run although other engines could have run them.
+	 * A crashed engine refuses connections while it restarts. Since refusals are fast,
+	 * the engine appears to have the lowest load and would attract requests, which would
+	 * fail as "not run" although other engines could run them. It must receive no
+	 * requests until it has restarted.
 	 */
 	@Test
-	void shouldKeepAwayFromEngineThatIsDownUntilItIsBack() {
-		FakeUpstream good = this.fleet.served("desk", 4);
-		FakeUpstream bad = this.fleet.served("desk", 4);
+	void shouldAvoidCrashedEngineUntilItHasRestarted() {
+		FakeUpstream good = this.fleet.listedUpstream("desk", 4);
+		FakeUpstream bad = this.fleet.listedUpstream("desk", 4);
 		TestFleet.await(() -> this.fleet.limit("desk") == 8);
 		bad.crash();
 		TestFleet.await(() -> {
@@ -272,27 +280,27 @@
 	}
 
 	/**
-	 * One engine does not hold the model, as after an order to unload it. Its refusal
-	 * must not reach callers while another engine holds the model.
+	 * One engine has not loaded the model, as after an unload order. Its 404 must not
+	 * reach the caller while another engine has loaded the model.
 	 */
 	@Test
-	void shouldGoElsewhereWhenEngineLacksModel() {
-		FakeUpstream without = this.fleet.served("desk", 4);
+	void shouldRetryOnOtherEngineWhenModelIsMissing() {
+		FakeUpstream without = this.fleet.listedUpstream("desk", 4);
 		CompletableFuture<HttpResponse<String>> answer = this.caller.chat("hello", true);
 		FakeCall refused = without.next();
-		FakeUpstream with = this.fleet.served("desk", 4);
+		FakeUpstream with = this.fleet.listedUpstream("desk", 4);
 		refused.answer(404, "{\"error\":{\"message\":\"The model `m` does not exist.\"}}");
 		with.next().greet().tokens("a").finish();
 		assertThat(Caller.await(answer).statusCode()).isEqualTo(200);
 	}
 
 	/**
-	 * The deadline passes while the only slot is taken by another. The request was never
-	 * passed on, and its caller is told so.
+	 * The deadline of a queued request passes while another request occupies the only
+	 * slot. The caller must get a timeout, and the request must not be passed on.
 	 */
 	@Test
-	void shouldTellThatDeadlinePassedBeforeItRan() {
-		FakeUpstream upstream = this.fleet.served("desk", 1);
+	void shouldReportDeadlineThatPassedInQueue() {
+		FakeUpstream upstream = this.fleet.listedUpstream("desk", 1);
 		CompletableFuture<HttpResponse<String>> running = this.caller.chat("first", false);
 		FakeCall first = upstream.next();
 		HttpResponse<String> late = Caller.await(this.caller.chat("second", false, "X-Deadline-Millis", "50"));
@@ -303,8 +311,8 @@
 	}
 
 	@Test
-	void shouldNameDependencyThatIsDown() {
-		this.fleet.served("letters", 4);
+	void shouldNameUnavailableDependency() {
+		this.fleet.listedUpstream("letters", 4);
 		HttpResponse<String> refused = Caller.await(this.caller.post("/services/letters/write", "{}"));
 		assertThat(Caller.error(refused)).isEqualTo("request_not_run_dependency");
 		assertThat(refused.body()).contains("bookings");
@@ -312,10 +320,11 @@
 	}
 
 	/**
-	 * The list loses a sidecar that serves, for a while. Its requests must go on.
+	 * The platform's list temporarily omits a sidecar that is serving. The sidecar's
+	 * requests must continue, and it must receive new ones.
 	 */
 	@Test
-	void shouldKeepServingWhenListFlaps() {
+	void shouldKeepServingWhenListOmitsSidecar() {
 		FakeUpstream upstream = this.fleet.upstream();
 		SidecarProcess sidecar = this.fleet.sidecar("desk", upstream, 4);
 		this.fleet.list("desk", sidecar.linkAddress());
@@ -331,17 +340,17 @@
 	}
 
 	/**
-	 * A sidecar is told to stop while it answers, and the list goes on showing it. The
-	 * answer must be finished, and new requests must go elsewhere at once.
+	 * A sidecar is stopped while it runs a request, and the list still contains it. The
+	 * response must be completed, and new requests must go to other sidecars at once.
 	 */
 	@Test
-	void shouldFinishAnswersOfSidecarThatStops() {
+	void shouldFinishResponsesOfDrainingSidecar() {
 		FakeUpstream first = this.fleet.upstream();
 		SidecarProcess sidecar = this.fleet.sidecar("desk", first, 4, Duration.ofSeconds(20));
 		this.fleet.list("desk", sidecar.linkAddress());
 		CompletableFuture<HttpResponse<String>> answer = this.caller.chat("hello", true);
 		FakeCall running = first.next().greet().tokens("a");
-		FakeUpstream second = this.fleet.served("desk", 4);
+		FakeUpstream second = this.fleet.listedUpstream("desk", 4);
 		CompletableFuture<Void> stopped = CompletableFuture.runAsync(sidecar::close);
 		TestFleet.await(() -> this.entry.directory().router("desk").table().size() == 1);
 		for (int i = 0; i < 4; i++) {
@@ -357,14 +366,15 @@
 	}
 
 	/**
-	 * One request crashes each engine that runs it, and another one is beside it the
-	 * first time. The one must be refused after two crashes of its own, also when its
-	 * caller sends it to another entry, and the other must be answered.
+	 * One request crashes every engine that runs it, and another request is in flight at
+	 * the first crash. The crashing request must be refused after two crashes while it
+	 * was alone, also when it is sent to another entry, and the other request must be
+	 * answered.
 	 */
 	@Test
-	void shouldConvictCrashingRequestAndAnswerItsNeighbour() {
+	void shouldQuarantineCrashingRequestAndAnswerConcurrentOne() {
 		TestFleet.TestEntry other = this.fleet.entry();
-		FakeUpstream upstream = this.fleet.served("desk", 4);
+		FakeUpstream upstream = this.fleet.listedUpstream("desk", 4);
 		CompletableFuture<HttpResponse<String>> bad = this.caller.chat("poison", false);
 		FakeCall first = upstream.next();
 		CompletableFuture<HttpResponse<String>> good = this.caller.chat("innocent", false);
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/entry/PriorityTests.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/entry/PriorityTests.java
@@ -31,7 +31,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of online and batch requests on one upstream.
+ * Tests of the priority of online requests over batch items on one upstream.
  */
 class PriorityTests {
 
@@ -43,14 +43,14 @@
 
 	private final FakeUpstream upstream = this.fleet.upstream();
 
-	private final BatchExchange batch = new BatchExchange();
+	private final BatchListener batch = new BatchListener();
 
 	@AfterEach
 	void close() {
 		this.fleet.close();
 	}
 
-	private SidecarProcess serve(int limit) {
+	private SidecarProcess startSidecar(int limit) {
 		SidecarProcess sidecar = this.fleet.sidecar("desk", this.upstream, limit, Duration.ofSeconds(20));
 		this.fleet.list("desk", sidecar.linkAddress());
 		TestFleet.await(() -> sidecar().accepts(Lane.LANE_BATCH));
@@ -80,14 +80,14 @@
 	}
 
 	/**
-	 * The upstream is full of batch when a burst of online requests comes. Each must get
-	 * a slot at once, while not one batch item ends by itself; the batch goes back with
-	 * what it has generated, and nothing is lost.
+	 * A burst of online requests arrives while the upstream is full of batch items, none
+	 * of which ends by itself. Each online request must get a slot, and each preempted
+	 * item must return the text that it has generated.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 4, 8 })
-	void shouldGiveBurstTheSlotsOfBatch(int burst) {
-		serve(8);
+	void shouldPreemptBatchForOnlineBurst(int burst) {
+		startSidecar(8);
 		for (int i = 0; i < 7; i++) {
 			send(item(i, 1));
 			this.upstream.next().greet().tokens("a", "b");
@@ -102,8 +102,9 @@
 			call.greet().tokens("x").finish();
 		}
 		answers.forEach((answer) -> assertThat(Caller.await(answer).statusCode()).isEqualTo(200));
-		// One slot was free as headroom, and one that a caller has left serves the next.
-		int yielded = this.batch.dones.size();
+		// One slot was free as headroom, and a slot that an online request has left may
+		// serve the next one.
+		int yielded = this.batch.results.size();
 		assertThat(yielded).isAtMost(burst - 1);
 		for (int i = 0; i < yielded; i++) {
 			Done done = this.batch.next();
@@ -113,8 +114,8 @@
 	}
 
 	@Test
-	void shouldResumeItemThatGaveWay() {
-		serve(2);
+	void shouldResumePreemptedItem() {
+		startSidecar(2);
 		send(item(0, 1));
 		FakeCall running = this.upstream.next().greet().tokens("a", "b");
 		this.batch.awaitTokens(2);
@@ -138,12 +139,12 @@
 	}
 
 	/**
-	 * An owner of the batch work was paused and another has taken over. What the old one
-	 * still sends must not be run.
+	 * The owner of a batch shard was paused and another entry has taken the shard over.
+	 * Items that the old owner still sends must not run.
 	 */
 	@Test
 	void shouldNotRunItemsOfOlderEpoch() {
-		serve(4);
+		startSidecar(4);
 		send(item(0, 2));
 		this.upstream.next();
 		send(item(1, 1));
@@ -152,12 +153,13 @@
 	}
 
 	/**
-	 * A new owner fences its shard off before it sends anything. Items of the old owner
-	 * that run must leave, or they would hold the slots of those sent anew.
+	 * A new owner fences its shard before it sends items. Items of the old owner that run
+	 * or wait must end; otherwise they would occupy the slots that the new owner's items
+	 * need.
 	 */
 	@Test
-	void shouldDropItemsThatAreFencedOff() {
-		serve(2);
+	void shouldStopFencedItems() {
+		startSidecar(2);
 		send(item(0, 1));
 		FakeCall running = this.upstream.next();
 		send(item(1, 1));
@@ -169,11 +171,12 @@
 	}
 
 	/**
-	 * A job is cancelled while its items run and wait. None of them may go on.
+	 * A job is cancelled while some of its items run and others wait. All of them must
+	 * end.
 	 */
 	@Test
 	void shouldStopItemsOfCancelledJob() {
-		serve(2);
+		startSidecar(2);
 		send(item(0, 1));
 		FakeCall running = this.upstream.next();
 		send(item(1, 1));
@@ -185,29 +188,30 @@
 	}
 
 	/**
-	 * A sidecar is told to stop while it is full of batch. The batch goes back with what
-	 * it has generated, so that another sidecar goes on, and the sidecar is gone soon.
+	 * A sidecar is stopped while batch items run and wait there. The items must be
+	 * returned with the text generated so far, so that another sidecar can resume them,
+	 * and the sidecar must stop without waiting for them.
 	 */
 	@Test
-	void shouldHandBatchBackWhenStopping() {
-		SidecarProcess sidecar = serve(2);
+	void shouldReturnBatchItemsWhenStopping() {
+		SidecarProcess sidecar = startSidecar(2);
 		send(item(0, 1));
 		this.upstream.next().greet().tokens("a");
 		this.batch.awaitTokens(1);
 		send(item(1, 1));
 		CompletableFuture<Void> stopped = CompletableFuture.runAsync(sidecar::close);
-		List<Done> dones = List.of(this.batch.next(), this.batch.next());
-		assertThat(dones.stream().map(Done::getOutcome).toList()).containsExactly(Outcome.OUTCOME_YIELDED,
+		List<Done> results = List.of(this.batch.next(), this.batch.next());
+		assertThat(results.stream().map(Done::getOutcome).toList()).containsExactly(Outcome.OUTCOME_YIELDED,
 				Outcome.OUTCOME_NOT_PASSED_ON);
 		stopped.join();
 	}
 
 	/**
-	 * Takes what becomes of batch items.
+	 * Collects the results of batch items.
 	 */
-	private static final class BatchExchange implements AttemptListener {
+	private static final class BatchListener implements AttemptListener {
 
-		private final BlockingQueue<Done> dones = new LinkedBlockingQueue<>();
+		private final BlockingQueue<Done> results = new LinkedBlockingQueue<>();
 
 		private volatile int tokens;
 
@@ -218,19 +222,19 @@
 
 		@Override
 		public void done(Done done) {
-			this.dones.add(done);
+			this.results.add(done);
 		}
 
 		@Override
 		public void lost() {
-			this.dones.add(Done.getDefaultInstance());
+			this.results.add(Done.getDefaultInstance());
 		}
 
 		private Done next() {
 			try {
-				Done done = this.dones.poll(10, TimeUnit.SECONDS);
+				Done done = this.results.poll(10, TimeUnit.SECONDS);
 				if (done == null) {
-					throw new AssertionError("no item has ended");
+					throw new AssertionError("no item ended within 10 s");
 				}
 				return done;
 			}
--- a/modules/daemon/src/test/java/org/ragworthook/daemon/entry/TestFleet.java
+++ b/modules/daemon/src/test/java/org/ragworthook/daemon/entry/TestFleet.java
@@ -48,8 +48,8 @@
 import org.ragworthook.wire.message.Lane;
 
 /**
- * An entry's online part and any number of sidecars in one process, over real links, with
- * fake upstreams.
+ * Any number of entries, reduced to their online part, and of sidecars in one process.
+ * The links are real; the upstreams are fakes.
  */
 final class TestFleet implements AutoCloseable {
 
@@ -83,7 +83,7 @@
 
 	private final List<Instance> entries = new CopyOnWriteArrayList<>();
 
-	private final AtomicInteger reads = new AtomicInteger();
+	private final AtomicInteger listReads = new AtomicInteger();
 
 	private final List<UpstreamDirectory> directories = new ArrayList<>();
 
@@ -120,7 +120,8 @@
 	}
 
 	/**
-	 * Lists a sidecar, as the platform does, and waits until every entry is linked to it.
+	 * Adds a sidecar to the platform's list and waits until every entry routes requests
+	 * to it.
 	 */
 	void list(String service, Address address) {
 		this.listed.add(instance(service, address));
@@ -132,7 +133,8 @@
 	}
 
 	/**
-	 * Returns how many requests the first entry takes the upstreams of a service to run.
+	 * Returns the sum of the concurrency limits of a service's upstreams, as known to the
+	 * first entry.
 	 */
 	int limit(String service) {
 		return this.directories.get(0).router(service).table().upstreams().stream().mapToInt(Upstream::limit).sum();
@@ -143,15 +145,15 @@
 	}
 
 	/**
-	 * Waits until the entries have read the list as it is now.
+	 * Waits until the list in its current state has been read.
 	 */
 	void awaitListRead() {
-		int now = this.reads.get();
-		await(() -> this.reads.get() > now + 1);
+		int previousReads = this.listReads.get();
+		await(() -> this.listReads.get() > previousReads + 1);
 	}
 
-	private List<Instance> read() {
-		this.reads.incrementAndGet();
+	private List<Instance> readList() {
+		this.listReads.incrementAndGet();
 		return List.copyOf(this.listed);
 	}
 
@@ -160,9 +162,9 @@
 	}
 
 	/**
-	 * Starts a sidecar with an upstream of its own and lists it.
+	 * Starts a sidecar with a new upstream and adds the sidecar to the platform's list.
 	 */
-	FakeUpstream served(String service, int limit) {
+	FakeUpstream listedUpstream(String service, int limit) {
 		FakeUpstream upstream = upstream();
 		list(service, sidecar(service, upstream, limit).linkAddress());
 		return upstream;
@@ -184,10 +186,10 @@
 	}
 
 	static void await(BooleanSupplier condition) {
-		long end = System.nanoTime() + Duration.ofSeconds(20).toNanos();
+		long deadlineNanos = System.nanoTime() + Duration.ofSeconds(20).toNanos();
 		while (!condition.getAsBoolean()) {
-			if (System.nanoTime() - end > 0) {
-				throw new AssertionError("what must happen has not happened");
+			if (System.nanoTime() - deadlineNanos > 0) {
+				throw new AssertionError("condition not met within 20 s");
 			}
 			Thread.onSpinWait();
 			try {
@@ -205,11 +207,11 @@
 	}
 
 	/**
-	 * The online part of an entry with its own HTTP server.
+	 * The online part of an entry, with its own HTTP server.
 	 */
 	final class TestEntry implements AutoCloseable {
 
-		private final Closer own = Closer.empty();
+		private final Closer entryCloser = Closer.empty();
 
 		private final UpstreamDirectory directory;
 
@@ -224,22 +226,22 @@
 			Instance self = new Instance("entry-" + address, Role.ENTRY, "", DOMAIN, address, false);
 			TestFleet.this.entries.add(self);
 			LinkOptions options = LinkOptions.of().heartbeat(Duration.ofMillis(200), Duration.ofMillis(800));
-			this.directory = this.own.add(UpstreamDirectory.follow(TestFleet.this.vertx, self,
-					() -> CompletableFuture.completedFuture(read()), Duration.ofMillis(20),
+			this.directory = this.entryCloser.add(UpstreamDirectory.follow(TestFleet.this.vertx, self,
+					() -> CompletableFuture.completedFuture(readList()), Duration.ofMillis(20),
 					EventLoops.of(TestFleet.this.vertx), options,
 					(lane) -> Hello.newBuilder().setLane(lane).setInstance("entry-" + hashCode()).build(),
-					new Ignoring()));
+					new NoOpListener()));
 			TestFleet.this.directories.add(this.directory);
 			Metrics metrics = Metrics.of(settings("none", TestFleet.this.upstream(), 1, Duration.ZERO));
 			ErrorResponses errors = ErrorResponses.of(metrics);
-			PeerLinks peers = this.own.add(PeerLinks.of(EventLoops.of(TestFleet.this.vertx),
+			PeerLinks peers = this.entryCloser.add(PeerLinks.of(EventLoops.of(TestFleet.this.vertx),
 					() -> CompletableFuture.completedFuture(List.copyOf(TestFleet.this.entries)),
 					VertxTimers.of(TestFleet.this.vertx), address, options,
 					() -> Hello.newBuilder().setLane(Lane.LANE_PEER).setInstance("entry-" + hashCode()).build()));
-			this.online = this.own.add(OnlinePart.start(TestFleet.this.vertx, this.directory,
+			this.online = this.entryCloser.add(OnlinePart.start(TestFleet.this.vertx, this.directory,
 					RequestReader.of(() -> Optional.of(CONTRACT), InstantSource.system()), errors, metrics, 1 << 20));
-			ConvictionSharing.start(this.online, peers);
-			this.online.claims(ClaimDesk.start(TestFleet.this.store, peers, id(), SHARDS));
+			CrashRecordSharing.start(this.online, peers);
+			this.online.claims(ShardedRequestClaims.start(TestFleet.this.store, peers, id(), SHARDS));
 			this.peers = peers;
 			peers.start();
 			Router router = Router.router(TestFleet.this.vertx);
@@ -256,7 +258,7 @@
 		/**
 		 * Makes this entry the owner of every shard.
 		 */
-		void own() {
+		void ownAllShards() {
 			for (int shard = 0; shard < SHARDS; shard++) {
 				Lease lease = new Lease("batch-" + shard, 1, id(), Duration.ofMinutes(1));
 				TestFleet.this.store.create(Lease.key(lease.name()), Draft.of(lease.text(), "lease-" + shard)).join();
@@ -285,15 +287,15 @@
 
 		@Override
 		public void close() {
-			this.own.close();
+			this.entryCloser.close();
 		}
 
 	}
 
 	/**
-	 * A control lane on which nothing is done.
+	 * A control lane listener that ignores all frames.
 	 */
-	private static final class Ignoring implements LinkListener {
+	private static final class NoOpListener implements LinkListener {
 
 		@Override
 		public void opened(Link link) {
