--- a/modules/core/src/main/java/org/ragworthook/core/contract/Account.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Account.java
@@ -4,18 +4,18 @@
 import java.util.Objects;
 
 /**
- * A caller that the operators know, with its share of the fleet.
+ * A client account that is authorised to call services, with its weight and limits.
  *
- * @param name its name, unique in the text
- * @param keys the hashes of its keys; two while a key is being rotated
- * @param weight its share against other accounts when the fleet is full, at least 1
- * @param limits what it may use at most
- * @param defaultClass the class of its requests that name none
+ * @param name the name, unique among the accounts of the contract
+ * @param keys the hashes of the API keys; more than one while a key is being rotated
+ * @param weight the relative share of capacity when the fleet is saturated, at least 1
+ * @param limits the rate and concurrency limits
+ * @param defaultClass the class of requests that specify none
  */
 public record Account(String name, List<KeyHash> keys, int weight, Limits limits, RequestClass defaultClass) {
 
 	/**
-	 * Copies the keys.
+	 * Checks that no component is null and copies the keys.
 	 */
 	public Account {
 		Objects.requireNonNull(name, "name is null");
@@ -25,9 +25,10 @@
 	}
 
 	/**
-	 * Returns an account with weight 1, without limits, whose requests are online.
-	 * @param name its name
-	 * @param keys the hashes of its keys
+	 * Returns an account with weight 1, no limits and the default class
+	 * {@link RequestClass#ONLINE}.
+	 * @param name the name of the account
+	 * @param keys the hashes of the API keys
 	 * @return the account
 	 */
 	public static Account of(String name, List<KeyHash> keys) {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ActiveContract.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ActiveContract.java
@@ -8,13 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * The contract that this process acts by. It only ever moves to a higher version.
+ * The contract that is active in this process. Its version only ever increases.
  * <p>
- * Revisions come from a watch, from listings and from peers, and any of them may be late:
- * a watch repeats events, a peer that was cut off sends what it has. Taken as they come
- * they would put an older text back in force, and one would notice a refused account
- * calling again. So a revision that is not newer than the one in force changes nothing,
- * whoever sends it.
+ * Revisions arrive from a watch, from listings and from peers, and may be stale: a watch
+ * repeats events, and a peer that was partitioned sends an old revision. Activating a
+ * stale revision would, for example, let a removed account call again. A revision that is
+ * not newer than the active one is therefore ignored, whatever its source.
  */
 public final class ActiveContract {
 
@@ -26,64 +25,66 @@
 	}
 
 	/**
-	 * Returns a process's state before it knows of any text.
-	 * @return nothing in force
+	 * Returns the state of a process that has not received any revision.
+	 * @return an instance without an active contract
 	 */
 	public static ActiveContract empty() {
 		return new ActiveContract();
 	}
 
 	/**
-	 * Takes a revision if it is newer.
-	 * @param revision a revision that was accepted
-	 * @return whether it has come into force here
-	 * @throws org.ragworthook.core.error.ConfigException if this process cannot read the
-	 * text; the earlier one stays in force
+	 * Activates a revision if it is newer than the active one.
+	 * @param revision an accepted revision
+	 * @return whether the revision was activated
+	 * @throws org.ragworthook.core.error.ConfigException if this process cannot parse the
+	 * text; the active contract stays unchanged
 	 */
 	public boolean offer(Revision revision) {
 		Objects.requireNonNull(revision, "revision is null");
 		if (revision.version() <= version()) {
 			return false;
 		}
-		State fresh = new State(Optional.of(revision),
+		State candidate = new State(Optional.of(revision),
 				Optional.of(Contract.parse(revision.version(), revision.text())));
-		State before = this.state.getAndUpdate((present) -> (present.version() < fresh.version()) ? fresh : present);
-		if (before.version() >= fresh.version()) {
+		State previous = this.state
+			.getAndUpdate((current) -> (current.version() < candidate.version()) ? candidate : current);
+		if (previous.version() >= candidate.version()) {
 			return false;
 		}
-		this.listeners.forEach((listener) -> listener.accept(fresh.contract().orElseThrow()));
+		this.listeners.forEach((listener) -> listener.accept(candidate.contract().orElseThrow()));
 		return true;
 	}
 
 	/**
-	 * Returns the contract in force.
-	 * @return the contract, or empty before the first
+	 * Returns the active contract.
+	 * @return the contract, or empty before the first activation
 	 */
 	public Optional<Contract> contract() {
 		return this.state.get().contract();
 	}
 
 	/**
-	 * Returns the revision in force.
-	 * @return the revision, or empty before the first
+	 * Returns the active revision.
+	 * @return the revision, or empty before the first activation
 	 */
 	public Optional<Revision> revision() {
 		return this.state.get().revision();
 	}
 
 	/**
-	 * Returns the version in force.
-	 * @return the version, or 0 before the first
+	 * Returns the version of the active contract.
+	 * @return the version, or 0 before the first activation
 	 */
 	public long version() {
 		return this.state.get().version();
 	}
 
 	/**
-	 * Has somebody told of each contract that comes into force from now on. Two that come
-	 * at the same moment may be told in either order; the listener compares versions or
-	 * reads {@link #contract()}.
-	 * @param listener takes each contract
+	 * Registers a listener that is called with each contract activated from now on.
+	 * Contracts activated concurrently may be passed in either order; the listener has to
+	 * compare versions or read {@link #contract()}.
+	 * @param listener called with each activated contract, on the thread that activates
+	 * it
 	 */
 	public void addListener(Consumer<Contract> listener) {
 		this.listeners.add(Objects.requireNonNull(listener, "listener is null"));
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ActiveSlice.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ActiveSlice.java
@@ -5,14 +5,15 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * What a sidecar knows of the contract: the highest version that any entry has told it
- * of, and its service as that version has it.
+ * The part of the contract that is active in a sidecar: the highest version received from
+ * any entry, and the sidecar's service as defined in that version.
  * <p>
- * Several entries send slices over links of their own and at their own pace. A slice
- * without a section means that the section is the one sent before <em>on the same
- * link</em>; another entry may have sent a different one in between. Each link therefore
- * has its own {@link Receiver}, or a change made and taken back would leave the sidecar
- * with the section of the middle version.
+ * Several entries send slices independently, each over its own link. A slice without a
+ * section means that the section is unchanged since the previous slice <em>on the same
+ * link</em>; another entry may have sent a different section in between. Each link
+ * therefore has its own {@link Receiver}. With one receiver for all links, a change that
+ * is made and reverted could leave the sidecar with the section of the intermediate
+ * version.
  */
 public final class ActiveSlice {
 
@@ -22,40 +23,40 @@
 	}
 
 	/**
-	 * Returns a sidecar's state before any slice.
-	 * @return nothing in force
+	 * Returns the state of a sidecar that has not received any slice.
+	 * @return an instance without an active slice
 	 */
 	public static ActiveSlice empty() {
 		return new ActiveSlice();
 	}
 
 	/**
-	 * Returns the version in force.
-	 * @return the version, or 0 before the first
+	 * Returns the active version of the contract.
+	 * @return the version, or 0 before the first slice
 	 */
 	public long version() {
 		return this.state.get().version();
 	}
 
 	/**
-	 * Returns the service of this sidecar's upstream.
-	 * @return the service, or empty before the first slice and if the text no longer has
-	 * the service
+	 * Returns the service that this sidecar's upstream belongs to.
+	 * @return the service, or empty before the first slice or if the contract no longer
+	 * contains the service
 	 */
 	public Optional<Service> service() {
 		return this.state.get().service();
 	}
 
 	/**
-	 * Takes up a new link to an entry.
-	 * @return the receiver of the link's slices
+	 * Returns a receiver for a new link to an entry.
+	 * @return the receiver for the slices of that link
 	 */
 	public Receiver receiver() {
 		return new Receiver();
 	}
 
 	/**
-	 * Takes the slices of one link.
+	 * Applies the slices received on one link.
 	 */
 	public final class Receiver {
 
@@ -65,26 +66,27 @@
 		}
 
 		/**
-		 * Takes a slice.
-		 * @param slice a slice that came on this link
-		 * @return whether its version has come into force here
+		 * Applies a slice; ignores its content if it is not newer than the active
+		 * version.
+		 * @param slice a slice received on this link
+		 * @return whether its version was activated
 		 */
 		public synchronized boolean take(Slice slice) {
 			Objects.requireNonNull(slice, "slice is null");
 			slice.section().ifPresent((sent) -> this.section = sent);
-			State before = ActiveSlice.this.state.get();
-			State fresh = before.next(slice.version(), this.section);
-			State replaced = ActiveSlice.this.state
-				.getAndUpdate((present) -> (present.version() < fresh.version()) ? fresh : present);
-			return replaced.version() < fresh.version();
+			State previous = ActiveSlice.this.state.get();
+			State candidate = previous.next(slice.version(), this.section);
+			State displaced = ActiveSlice.this.state
+				.getAndUpdate((current) -> (current.version() < candidate.version()) ? candidate : current);
+			return displaced.version() < candidate.version();
 		}
 
 	}
 
 	private record State(long version, String section, Optional<Service> service) {
 
-		State next(long newer, String fresh) {
-			return new State(newer, fresh, fresh.equals(this.section) ? this.service : parse(fresh));
+		State next(long newVersion, String candidate) {
+			return new State(newVersion, candidate, candidate.equals(this.section) ? this.service : parse(candidate));
 		}
 
 		private static Optional<Service> parse(String section) {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Contract.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Contract.java
@@ -13,8 +13,8 @@
 import org.ragworthook.core.error.ErrorCode;
 
 /**
- * An accepted text and the lookups that requests need. Immutable: a process replaces it
- * as a whole when a newer version comes into force.
+ * A parsed contract with the indexes that request processing needs. Immutable: a process
+ * replaces the whole object when it activates a newer version.
  */
 public final class Contract {
 
@@ -75,11 +75,12 @@
 	}
 
 	/**
-	 * Reads a text that is to be acted by.
-	 * @param version the version under which it was accepted
-	 * @param text the JSON with comments
+	 * Parses a contract and rejects it if it has any error.
+	 * @param version the version of the contract
+	 * @param text the contract as JSON with comments
 	 * @return the contract
-	 * @throws ConfigException if the text breaks a rule; its detail lists every place
+	 * @throws ConfigException with {@code CONFIG_INVALID} if the text has an error; its
+	 * detail lists all errors with their positions
 	 */
 	public static Contract parse(long version, String text) {
 		ValidationResult result = validate(version, text);
@@ -87,16 +88,17 @@
 	}
 
 	/**
-	 * Reads a text and reports everything that is wrong with it.
-	 * @param version the version that it would have
-	 * @param text the JSON with comments
-	 * @return the contract if there is no error, and all problems
+	 * Parses and validates a contract and reports all problems instead of stopping at the
+	 * first.
+	 * @param version the version that the contract would have
+	 * @param text the contract as JSON with comments
+	 * @return the contract, if there is no error, and all errors and warnings
 	 */
 	public static ValidationResult validate(long version, String text) {
 		Objects.requireNonNull(text, "text is null");
-		Problems problems = new Problems();
+		ProblemCollector problems = new ProblemCollector();
 		Optional<Contract> read = ContractReader.read(version, text, problems);
-		List<Problem> found = problems.inOrder();
+		List<Problem> found = problems.sorted();
 		return new ValidationResult(found.stream().anyMatch(Problem::isError) ? Optional.empty() : read, found);
 	}
 
@@ -106,15 +108,15 @@
 	}
 
 	/**
-	 * Returns the version.
-	 * @return a number that grows with each accepted change
+	 * Returns the version of this contract.
+	 * @return a number that increases with each accepted change
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * Returns the text as the operators wrote it.
+	 * Returns the source text as submitted, including comments.
 	 * @return the JSON with comments
 	 */
 	public String text() {
@@ -123,15 +125,15 @@
 
 	/**
 	 * Returns the name of the deployment.
-	 * @return the name
+	 * @return the name of the deployment
 	 */
 	public String name() {
 		return this.name;
 	}
 
 	/**
-	 * Returns the regions with their failure domains.
-	 * @return names of failure domains by name of region
+	 * Returns the regions and their failure domains.
+	 * @return the names of the failure domains by region name
 	 */
 	public Map<String, List<String>> regions() {
 		return this.regions;
@@ -139,15 +141,15 @@
 
 	/**
 	 * Returns all services.
-	 * @return the services in order of the text
+	 * @return the services in the order of the text
 	 */
 	public List<Service> services() {
 		return List.copyOf(this.services.values());
 	}
 
 	/**
-	 * Returns a service.
-	 * @param wanted its name
+	 * Returns the service with a given name.
+	 * @param wanted the name of the service
 	 * @return the service, or empty if there is none of that name
 	 */
 	public Optional<Service> service(String wanted) {
@@ -155,16 +157,18 @@
 	}
 
 	/**
-	 * Returns the section of a service without comments and spaces.
-	 * @param service its name
-	 * @return the JSON text, which is the same for sections that mean the same
+	 * Returns the section of a service as normalised JSON, without comments and
+	 * whitespace. Two sections that differ only in formatting have the same normalised
+	 * form.
+	 * @param service the name of the service
+	 * @return the normalised JSON, or empty if there is no service of that name
 	 */
 	public Optional<String> section(String service) {
 		return Optional.ofNullable(this.sections.get(service));
 	}
 
 	/**
-	 * Returns the service that answers for a model.
+	 * Returns the service that serves a model.
 	 * @param model the name of a model or of an adapter
 	 * @return the service, or empty if no service has such a model
 	 */
@@ -174,17 +178,17 @@
 
 	/**
 	 * Returns all accounts.
-	 * @return the accounts in order of the text
+	 * @return the accounts in the order of the text
 	 */
 	public List<Account> accounts() {
 		return this.accounts;
 	}
 
 	/**
-	 * Returns the account to which a key belongs. The key is hashed before anything is
-	 * compared, so that the time taken tells nothing of how much of a guess was right.
-	 * @param bearerKey the key as the caller sent it
-	 * @return the account, or empty if the key is not known
+	 * Returns the account that owns an API key. The lookup compares hashes, so its timing
+	 * does not reveal how much of a guessed key is correct.
+	 * @param bearerKey the plain API key as sent by the caller
+	 * @return the account, or empty if the key is unknown
 	 */
 	public Optional<Account> accountOfKey(String bearerKey) {
 		KeyHash hash = KeyHash.of(bearerKey);
@@ -193,9 +197,9 @@
 	}
 
 	/**
-	 * Returns the operator to whom a key belongs.
-	 * @param bearerKey the key as the operator sent it
-	 * @return the operator, or empty if the key is no operator's
+	 * Returns the operator that owns a key.
+	 * @param bearerKey the plain key as sent by the operator
+	 * @return the operator, or empty if no operator has this key
 	 */
 	public Optional<Operator> operatorOfKey(String bearerKey) {
 		KeyHash hash = KeyHash.of(bearerKey);
@@ -205,24 +209,24 @@
 	}
 
 	/**
-	 * Returns those who may change the text.
-	 * @return the operators in order of the text
+	 * Returns the operators that may change the contract.
+	 * @return the operators in the order of the text
 	 */
 	public List<Operator> operators() {
 		return this.operators;
 	}
 
 	/**
-	 * Returns how long things are kept.
-	 * @return the retention
+	 * Returns how long job results and old revisions are retained.
+	 * @return the retention settings
 	 */
 	public Retention retention() {
 		return this.retention;
 	}
 
 	/**
-	 * Returns what the store of model weights bears.
-	 * @return its limits
+	 * Returns the load limits of the model weight store.
+	 * @return the limits
 	 */
 	public WeightStore weightStore() {
 		return this.weightStore;
@@ -233,7 +237,7 @@
 	}
 
 	/**
-	 * Collects the parts of a contract while its text is read.
+	 * Mutable builder that {@link ContractReader} fills while it reads a text.
 	 */
 	static final class Builder {
 
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractChange.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractChange.java
@@ -3,16 +3,17 @@
 import java.util.Objects;
 
 /**
- * One thing that would happen if a text were accepted.
+ * One consequence of replacing the active contract by another.
  *
- * @param effect what kind of thing
- * @param subject the service, model or account concerned
- * @param description the change in words
+ * @param effect the kind of consequence
+ * @param subject the name of the service, model, adapter, account, operator or setting
+ * that changes
+ * @param description a human-readable description of the change
  */
 public record ContractChange(Effect effect, String subject, String description) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public ContractChange {
 		Objects.requireNonNull(effect, "effect is null");
@@ -26,7 +27,7 @@
 	}
 
 	/**
-	 * What a change does to the fleet.
+	 * The effect of a change on the fleet.
 	 */
 	public enum Effect {
 
@@ -36,22 +37,22 @@
 		/** Upstreams unload a model or adapter. */
 		UNLOAD,
 
-		/** Replicas stand elsewhere. */
+		/** Replicas move to other failure domains or their bounds change. */
 		MOVE,
 
-		/** A model's version is replaced, upstream by upstream. */
+		/** The version of a model is replaced on one upstream after the other. */
 		ROLL_OUT,
 
-		/** A service comes, goes or answers differently. */
+		/** A service is added, removed or reconfigured. */
 		SERVICE,
 
-		/** An account comes, goes or may use more or less. */
+		/** An account is added, removed or reconfigured. */
 		ACCOUNT,
 
-		/** Somebody may or may no longer change the text. */
+		/** An operator is added or removed, or its keys change. */
 		OPERATOR,
 
-		/** Anything else. */
+		/** Any other setting changes. */
 		OTHER
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractDiff.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractDiff.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Says in words what would happen if one contract replaced another.
+ * Describes, for operators, what changes when one contract replaces another.
  */
 public final class ContractDiff {
 
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * Compares two contracts.
-	 * @param before the contract in force, or empty if there is none
-	 * @param after the contract that would replace it
-	 * @return what would happen; nothing if both mean the same
+	 * Returns the differences between two contracts.
+	 * @param before the active contract, or empty if there is none
+	 * @param after the contract that replaces it
+	 * @return the changes; empty if the contracts differ only in comments and formatting
 	 */
 	public static List<ContractChange> between(Optional<Contract> before, Contract after) {
 		Objects.requireNonNull(before, "before is null");
@@ -32,34 +32,34 @@
 		diff.services(before.map(Contract::services).orElse(List.of()), after.services());
 		diff.accounts(before.map(Contract::accounts).orElse(List.of()), after.accounts());
 		diff.operators(before.map(Contract::operators).orElse(List.of()), after.operators());
-		before.ifPresent((present) -> diff.rest(present, after));
+		before.ifPresent((active) -> diff.deployment(active, after));
 		return List.copyOf(diff.changes);
 	}
 
-	private void add(ContractChange.Effect effect, String subject, String words) {
-		this.changes.add(new ContractChange(effect, subject, words));
+	private void add(ContractChange.Effect effect, String subject, String description) {
+		this.changes.add(new ContractChange(effect, subject, description));
 	}
 
 	// -- services
 
 	private void services(List<Service> before, List<Service> after) {
-		Map<String, Service> old = byName(before, Service::name);
-		Map<String, Service> fresh = byName(after, Service::name);
-		old.forEach((name, service) -> {
-			if (!fresh.containsKey(name)) {
+		Map<String, Service> previous = byName(before, Service::name);
+		Map<String, Service> updated = byName(after, Service::name);
+		previous.forEach((name, service) -> {
+			if (!updated.containsKey(name)) {
 				add(ContractChange.Effect.SERVICE, name, "service " + name + " is removed: its requests are refused");
 				service.models().forEach((model) -> unload(service, model));
 			}
 		});
-		fresh.forEach((name, service) -> {
-			Service earlier = old.get(name);
-			if (earlier == null) {
+		updated.forEach((name, service) -> {
+			Service existing = previous.get(name);
+			if (existing == null) {
 				add(ContractChange.Effect.SERVICE, name, "service " + name + " is added with " + service.upstreams()
 						+ " upstreams in " + String.join(", ", service.failureDomains()));
 				service.models().forEach((model) -> load(service, model));
 			}
 			else {
-				service(earlier, service);
+				service(existing, service);
 			}
 		});
 	}
@@ -70,41 +70,41 @@
 			add(ContractChange.Effect.MOVE, name, "service " + name + ": replicas move from "
 					+ String.join(", ", before.failureDomains()) + " to " + String.join(", ", after.failureDomains()));
 		}
-		changed(name, "upstreams", before.upstreams(), after.upstreams());
-		changed(name, "online deadline", before.onlineDeadline(), after.onlineDeadline());
-		changed(name, "batch deadline", before.batchDeadline(), after.batchDeadline());
-		changed(name, "dependencies", before.dependsOn(), after.dependsOn());
-		changed(name, "type", before.type().label(), after.type().label());
-		changed(name, "upstreams that check fencing", before.checksFencing(), after.checksFencing());
-		changed(name, "calls that must not be repeated", calls(before), calls(after));
+		serviceChanged(name, "upstreams", before.upstreams(), after.upstreams());
+		serviceChanged(name, "online deadline", before.onlineDeadline(), after.onlineDeadline());
+		serviceChanged(name, "batch deadline", before.batchDeadline(), after.batchDeadline());
+		serviceChanged(name, "dependencies", before.dependsOn(), after.dependsOn());
+		serviceChanged(name, "type", before.type().label(), after.type().label());
+		serviceChanged(name, "upstreams that check fencing", before.checksFencing(), after.checksFencing());
+		serviceChanged(name, "calls that must not be repeated", calls(before), calls(after));
 		models(before, after);
 	}
 
 	private static String calls(Service service) {
 		return service.nonIdempotentCalls()
 			.stream()
-			.map((rule) -> rule.method() + " " + rule.path())
+			.map((pattern) -> pattern.method() + " " + pattern.path())
 			.collect(Collectors.joining(", ", "[", "]"));
 	}
 
-	private void changed(String service, String what, Object before, Object after) {
+	private void serviceChanged(String service, String property, Object before, Object after) {
 		if (!before.equals(after)) {
 			add(ContractChange.Effect.SERVICE, service,
-					"service " + service + ": " + what + " " + before + " -> " + after);
+					"service " + service + ": " + property + " " + before + " -> " + after);
 		}
 	}
 
 	private void models(Service before, Service after) {
-		Map<String, Model> old = byName(before.models(), Model::name);
-		Map<String, Model> fresh = byName(after.models(), Model::name);
-		old.forEach((name, model) -> {
-			if (!fresh.containsKey(name)) {
+		Map<String, Model> previous = byName(before.models(), Model::name);
+		Map<String, Model> updated = byName(after.models(), Model::name);
+		previous.forEach((name, model) -> {
+			if (!updated.containsKey(name)) {
 				unload(before, model);
 			}
 		});
-		fresh.forEach((name, model) -> {
-			if (old.containsKey(name)) {
-				model(after, old.get(name), model);
+		updated.forEach((name, model) -> {
+			if (previous.containsKey(name)) {
+				model(after, previous.get(name), model);
 			}
 			else {
 				load(after, model);
@@ -132,7 +132,7 @@
 		}
 		if (!before.replicas().equals(after.replicas())) {
 			add(effect(before.replicas(), after.replicas()), after.name(), "model " + after.name() + ": replicas "
-					+ words(before.replicas()) + " -> " + words(after.replicas()));
+					+ format(before.replicas()) + " -> " + format(after.replicas()));
 		}
 		before.adapters()
 			.stream()
@@ -155,28 +155,28 @@
 		return ContractChange.Effect.MOVE;
 	}
 
-	private static String words(Replicas replicas) {
+	private static String format(Replicas replicas) {
 		return replicas.min() + " to " + replicas.max() + " over " + replicas.failureDomains();
 	}
 
 	// -- accounts and operators
 
 	private void accounts(List<Account> before, List<Account> after) {
-		Map<String, Account> old = byName(before, Account::name);
-		Map<String, Account> fresh = byName(after, Account::name);
-		old.keySet()
+		Map<String, Account> previous = byName(before, Account::name);
+		Map<String, Account> updated = byName(after, Account::name);
+		previous.keySet()
 			.stream()
-			.filter((name) -> !fresh.containsKey(name))
+			.filter((name) -> !updated.containsKey(name))
 			.forEach((name) -> add(ContractChange.Effect.ACCOUNT, name,
 					"account " + name + " is removed: its keys open nothing and nobody reads its results"));
-		fresh.forEach((name, account) -> {
-			Account earlier = old.get(name);
-			if (earlier == null) {
+		updated.forEach((name, account) -> {
+			Account existing = previous.get(name);
+			if (existing == null) {
 				add(ContractChange.Effect.ACCOUNT, name,
 						"account " + name + " is added with weight " + account.weight());
 			}
 			else {
-				account(earlier, account);
+				account(existing, account);
 			}
 		});
 	}
@@ -188,22 +188,22 @@
 		}
 		accountChanged(after, "weight", before.weight(), after.weight());
 		accountChanged(after, "default class", before.defaultClass().label(), after.defaultClass().label());
-		accountChanged(after, "limits", words(before.limits()), words(after.limits()));
+		accountChanged(after, "limits", format(before.limits()), format(after.limits()));
 	}
 
-	private void accountChanged(Account account, String what, Object before, Object after) {
+	private void accountChanged(Account account, String property, Object before, Object after) {
 		if (!before.equals(after)) {
 			add(ContractChange.Effect.ACCOUNT, account.name(),
-					"account " + account.name() + ": " + what + " " + before + " -> " + after);
+					"account " + account.name() + ": " + property + " " + before + " -> " + after);
 		}
 	}
 
-	private static String words(Limits limits) {
-		return "[" + words(limits.requestsPerSecond()) + " requests/s, " + words(limits.inFlight()) + " in flight, "
-				+ words(limits.tokensPerSecond()) + " tokens/s]";
+	private static String format(Limits limits) {
+		return "[" + format(limits.requestsPerSecond()) + " requests/s, " + format(limits.inFlight()) + " in flight, "
+				+ format(limits.tokensPerSecond()) + " tokens/s]";
 	}
 
-	private static String words(int limit) {
+	private static String format(int limit) {
 		return (limit > 0) ? Integer.toString(limit) : "any";
 	}
 
@@ -214,41 +214,41 @@
 	}
 
 	private void operators(List<Operator> before, List<Operator> after) {
-		Map<String, Operator> old = byName(before, Operator::name);
-		Map<String, Operator> fresh = byName(after, Operator::name);
-		old.keySet()
+		Map<String, Operator> previous = byName(before, Operator::name);
+		Map<String, Operator> updated = byName(after, Operator::name);
+		previous.keySet()
 			.stream()
-			.filter((name) -> !fresh.containsKey(name))
+			.filter((name) -> !updated.containsKey(name))
 			.forEach((name) -> add(ContractChange.Effect.OPERATOR, name,
 					"operator " + name + " may no longer change the text"));
-		fresh.forEach((name, operator) -> {
-			Operator earlier = old.get(name);
-			if (earlier == null) {
+		updated.forEach((name, operator) -> {
+			Operator existing = previous.get(name);
+			if (existing == null) {
 				add(ContractChange.Effect.OPERATOR, name, "operator " + name + " may change the text");
 			}
-			else if (!earlier.keys().equals(operator.keys())) {
+			else if (!existing.keys().equals(operator.keys())) {
 				add(ContractChange.Effect.OPERATOR, name,
-						"operator " + name + ": " + keys(earlier.keys(), operator.keys()));
+						"operator " + name + ": " + keys(existing.keys(), operator.keys()));
 			}
 		});
 	}
 
-	// -- the rest
+	// -- deployment-wide settings
 
-	private void rest(Contract before, Contract after) {
-		other("deployment name", before.name(), after.name());
-		other("regions", before.regions(), after.regions());
-		other("retention of results", before.retention().results(), after.retention().results());
-		other("changes kept", before.retention().changes(), after.retention().changes());
-		other("weight store loads a minute", before.weightStore().loadsPerMinute(),
+	private void deployment(Contract before, Contract after) {
+		deploymentChanged("deployment name", before.name(), after.name());
+		deploymentChanged("regions", before.regions(), after.regions());
+		deploymentChanged("retention of results", before.retention().results(), after.retention().results());
+		deploymentChanged("changes kept", before.retention().changes(), after.retention().changes());
+		deploymentChanged("weight store loads a minute", before.weightStore().loadsPerMinute(),
 				after.weightStore().loadsPerMinute());
-		other("weight store loads at once", before.weightStore().concurrentLoads(),
+		deploymentChanged("weight store loads at once", before.weightStore().concurrentLoads(),
 				after.weightStore().concurrentLoads());
 	}
 
-	private void other(String what, Object before, Object after) {
+	private void deploymentChanged(String property, Object before, Object after) {
 		if (!before.equals(after)) {
-			add(ContractChange.Effect.OTHER, what, what + " " + before + " -> " + after);
+			add(ContractChange.Effect.OTHER, property, property + " " + before + " -> " + after);
 		}
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractRepository.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractRepository.java
@@ -23,21 +23,23 @@
 import org.ragworthook.core.store.Stored;
 
 /**
- * Accepts texts and keeps their history at the platform.
+ * Validates proposed contracts and stores accepted revisions with their history in the
+ * object store.
  * <p>
- * The head of the newest revision is one small object, replaced by conditional write, so
- * of two operators who edited the same version only one is accepted and the other is told
- * who came first. Before a head is replaced it is copied into the history, and a new
- * snapshot of the text, when one is due, is written before the head that names it. Should
- * the entry stop between two writes, the next change finds the copy, and a snapshot that
- * no head names does no harm; the history plus the newest head has no gap at any moment.
+ * The header of the newest revision is one small object that is replaced by a conditional
+ * write: of two operators who edited the same version, one succeeds and the other gets a
+ * conflict that names the winner. Before a header is replaced it is copied to the
+ * history, and a snapshot of the text, when one is due, is written before the header that
+ * refers to it. The history together with the newest header therefore never has a gap,
+ * even if the entry crashes between two writes: the next change finds the copy, and an
+ * unreferenced snapshot is harmless.
  */
 public final class ContractRepository {
 
-	/** The object that holds the newest revision. */
+	/** Key of the object that holds the header of the newest revision. */
 	public static final ObjectKey NEWEST = ObjectKey.of(Kind.CONFIG, "contract");
 
-	/** Selects the newest revision in a watch. */
+	/** Labels of that object, to list or watch it alone. */
 	public static final Labels NEWEST_LABELS = Labels.of("part", "newest");
 
 	private final ObjectStore store;
@@ -46,21 +48,21 @@
 
 	private final InstantSource clock;
 
-	private final RevisionStore revisions;
+	private final RevisionReader revisions;
 
 	private ContractRepository(ObjectStore store, ConditionalWriter writer, InstantSource clock) {
 		this.store = Objects.requireNonNull(store, "store is null");
 		this.writer = Objects.requireNonNull(writer, "writer is null");
 		this.clock = Objects.requireNonNull(clock, "clock is null");
-		this.revisions = RevisionStore.of(store);
+		this.revisions = RevisionReader.of(store);
 	}
 
 	/**
-	 * Returns a register.
-	 * @param store where revisions are kept
-	 * @param writer writes them
-	 * @param clock tells when a text is accepted
-	 * @return the register
+	 * Returns a repository.
+	 * @param store the object store that holds the revisions
+	 * @param writer performs conditional writes to the store
+	 * @param clock provides the time of acceptance
+	 * @return the repository
 	 */
 	public static ContractRepository of(ObjectStore store, ConditionalWriter writer, InstantSource clock) {
 		return new ContractRepository(store, writer, clock);
@@ -69,86 +71,88 @@
 	// -- reading
 
 	/**
-	 * Reads the newest revision.
-	 * @return the revision, or empty if no text was accepted yet
+	 * Returns the newest accepted revision.
+	 * @return the revision, or empty if none has been accepted yet
 	 */
 	public CompletableFuture<Optional<Revision>> newest() {
 		return this.store.read(NEWEST).thenCompose(this::restore);
 	}
 
 	/**
-	 * Reads one revision.
-	 * @param version which one
-	 * @return the revision, or empty if there is none or it is no longer kept
+	 * Returns the revision with a given version.
+	 * @param version the version of the revision
+	 * @return the revision, or empty if it does not exist or is no longer retained
 	 */
 	public CompletableFuture<Optional<Revision>> revision(long version) {
 		return this.store.read(NEWEST).thenCompose((found) -> {
-			if (found.filter((stored) -> head(stored).version() == version).isPresent()) {
+			if (found.filter((stored) -> header(stored).version() == version).isPresent()) {
 				return restore(found);
 			}
-			return this.store.read(RevisionStore.changeKey(version)).thenCompose(this::restore);
+			return this.store.read(RevisionReader.changeKey(version)).thenCompose(this::restore);
 		});
 	}
 
 	private CompletableFuture<Optional<Revision>> restore(Optional<Stored> found) {
-		return found.map((stored) -> this.revisions.restore(head(stored)).thenApply(Optional::of))
+		return found.map((stored) -> this.revisions.restore(header(stored)).thenApply(Optional::of))
 			.orElseGet(() -> CompletableFuture.completedFuture(Optional.empty()));
 	}
 
 	/**
-	 * Reads the heads of all revisions that are kept.
-	 * @return the heads, newest first
+	 * Returns the headers of all retained revisions.
+	 * @return the headers, newest first
 	 */
-	public CompletableFuture<List<RevisionHead>> history() {
-		return this.store.list(Kind.CONFIG, RevisionStore.HISTORY_LABELS)
+	public CompletableFuture<List<RevisionHeader>> history() {
+		return this.store.list(Kind.CONFIG, RevisionReader.HISTORY_LABELS)
 			.thenCombine(this.store.read(NEWEST), ContractRepository::newestFirst);
 	}
 
-	private static List<RevisionHead> newestFirst(Listing listing, Optional<Stored> newest) {
-		List<RevisionHead> heads = new ArrayList<>();
-		listing.objects().forEach((stored) -> heads.add(head(stored)));
-		newest.map(ContractRepository::head)
-			.filter((present) -> heads.stream().noneMatch((old) -> old.version() == present.version()))
-			.ifPresent(heads::add);
-		long oldest = heads.stream().mapToLong(RevisionHead::version).min().orElse(0);
-		return heads.stream()
-			.filter((head) -> head.snapshotVersion() >= oldest)
-			.sorted(Comparator.comparingLong(RevisionHead::version).reversed())
+	private static List<RevisionHeader> newestFirst(Listing listing, Optional<Stored> newest) {
+		List<RevisionHeader> headers = new ArrayList<>();
+		listing.objects().forEach((stored) -> headers.add(header(stored)));
+		newest.map(ContractRepository::header)
+			.filter((newestHeader) -> headers.stream().noneMatch((old) -> old.version() == newestHeader.version()))
+			.ifPresent(headers::add);
+		long oldest = headers.stream().mapToLong(RevisionHeader::version).min().orElse(0);
+		return headers.stream()
+			.filter((header) -> header.snapshotVersion() >= oldest)
+			.sorted(Comparator.comparingLong(RevisionHeader::version).reversed())
 			.toList();
 	}
 
-	private static RevisionHead head(Stored stored) {
-		return RevisionCodec.parseHead(stored.text());
+	private static RevisionHeader header(Stored stored) {
+		return RevisionCodec.parseHeader(stored.text());
 	}
 
 	// -- acceptance
 
 	/**
-	 * Accepts a text, if it is valid and was edited from the newest version.
-	 * @param proposal the text with its author and reason
-	 * @param inForce the version that the accepting process acts by; the new version is
-	 * above it even if the platform has lost the object
-	 * @param open jobs that must not be stranded
-	 * @return the accepted revision; fails with a {@link ConfigException} if the text is
-	 * refused, and with a store's error if the platform did not take it
+	 * Stores a proposed contract as the newest revision if it is valid and was edited
+	 * from the newest version.
+	 * @param proposal the proposed text with its author and reason
+	 * @param activeVersion the version that is active in this process, or 0; the new
+	 * version is higher even if the object in the store was lost
+	 * @param openJobs the accepted, unfinished jobs that the new contract must still be
+	 * able to run
+	 * @return the accepted revision; fails with a {@link ConfigException} if the proposal
+	 * is rejected, and with a store exception if the write failed
 	 */
-	public CompletableFuture<Revision> accept(Proposal proposal, long inForce, OpenJobCounts open) {
+	public CompletableFuture<Revision> accept(Proposal proposal, long activeVersion, OpenJobCounts openJobs) {
 		Contract contract;
 		try {
-			contract = valid(proposal, open);
+			contract = parseValid(proposal, openJobs);
 		}
 		catch (ConfigException ex) {
 			return CompletableFuture.failedFuture(ex);
 		}
 		return this.store.read(NEWEST)
-			.thenCompose(
-					(found) -> found.isPresent() ? replace(found.get(), proposal, inForce) : first(proposal, inForce))
-			.thenCompose((accepted) -> forget(accepted, contract.retention().changes()));
+			.thenCompose((found) -> found.isPresent() ? acceptNext(found.get(), proposal, activeVersion)
+					: acceptFirst(proposal, activeVersion))
+			.thenCompose((accepted) -> pruneHistory(accepted, contract.retention().changes()));
 	}
 
-	private static Contract valid(Proposal proposal, OpenJobCounts open) {
-		Contract contract = Contract.parse(proposal.base() + 1, proposal.text());
-		List<Problem> stranded = proposal.strand() ? List.of() : open.strandedBy(contract);
+	private static Contract parseValid(Proposal proposal, OpenJobCounts openJobs) {
+		Contract contract = Contract.parse(proposal.baseVersion() + 1, proposal.text());
+		List<Problem> stranded = proposal.strandJobs() ? List.of() : openJobs.strandedBy(contract);
 		if (!stranded.isEmpty()) {
 			throw new ConfigException(ErrorCode.CONFIG_STRANDS_WORK,
 					stranded.stream().map(Problem::message).collect(Collectors.joining(", ")));
@@ -156,90 +160,91 @@
 		return contract;
 	}
 
-	private CompletableFuture<Revision> first(Proposal proposal, long inForce) {
-		if (proposal.base() != 0 && proposal.base() != inForce) {
+	private CompletableFuture<Revision> acceptFirst(Proposal proposal, long activeVersion) {
+		if (proposal.baseVersion() != 0 && proposal.baseVersion() != activeVersion) {
 			throw new ConfigException(ErrorCode.CONFIG_CONFLICT,
-					"version " + proposal.base() + " was edited, but the platform holds no text");
+					"version " + proposal.baseVersion() + " was edited, but the platform holds no text");
 		}
-		RevisionHead fresh = snapshot(proposal, inForce + 1, Optional.empty());
-		return writeSnapshot(fresh, proposal)
-			.thenCompose((written) -> this.writer.create(NEWEST, RevisionCodec.head(fresh), NEWEST_LABELS))
-			.handle((stored, failure) -> settle(fresh, failure, proposal))
-			.thenCompose((settled) -> settled);
+		RevisionHeader created = snapshotHeader(proposal, activeVersion + 1, Optional.empty());
+		return writeSnapshot(created, proposal)
+			.thenCompose((written) -> this.writer.create(NEWEST, RevisionCodec.header(created), NEWEST_LABELS))
+			.handle((stored, failure) -> resolve(created, failure, proposal))
+			.thenCompose((future) -> future);
 	}
 
-	private CompletableFuture<Revision> replace(Stored seen, Proposal proposal, long inForce) {
-		RevisionHead head = head(seen);
-		return this.revisions.restore(head).thenCompose((newest) -> {
+	private CompletableFuture<Revision> acceptNext(Stored seen, Proposal proposal, long activeVersion) {
+		RevisionHeader header = header(seen);
+		return this.revisions.restore(header).thenCompose((newest) -> {
 			if (isResubmission(newest, proposal)) {
 				return CompletableFuture.completedFuture(newest);
 			}
-			if (newest.version() != proposal.base()) {
+			if (newest.version() != proposal.baseVersion()) {
 				return conflict(newest, proposal);
 			}
-			RevisionHead fresh = next(head, newest.text(), proposal, Math.max(inForce, newest.version()) + 1);
-			return keep(seen, head).thenCompose((kept) -> writeSnapshot(fresh, proposal))
-				.thenCompose((written) -> this.writer.update(seen, RevisionCodec.head(fresh)))
-				.handle((stored, failure) -> settle(fresh, failure, proposal))
-				.thenCompose((settled) -> settled);
+			RevisionHeader created = nextHeader(header, newest.text(), proposal,
+					Math.max(activeVersion, newest.version()) + 1);
+			return archive(seen, header).thenCompose((kept) -> writeSnapshot(created, proposal))
+				.thenCompose((written) -> this.writer.update(seen, RevisionCodec.header(created)))
+				.handle((stored, failure) -> resolve(created, failure, proposal))
+				.thenCompose((future) -> future);
 		});
 	}
 
-	// An operator whose answer was lost submits the same text again from the same
-	// version.
-	// Without this check that would be reported as a conflict of the operator with
-	// himself, although the change was accepted.
+	// Detects an operator who submits the same text again because the response was lost.
+	// Without this check the operator would get a conflict with their own accepted
+	// change.
 	private static boolean isResubmission(Revision newest, Proposal proposal) {
 		boolean sameText = newest.text().equals(proposal.text());
-		boolean unchanged = newest.version() == proposal.base();
-		return sameText
-				&& (unchanged || newest.version() == proposal.base() + 1 && newest.author().equals(proposal.author()));
+		boolean unchanged = newest.version() == proposal.baseVersion();
+		return sameText && (unchanged
+				|| newest.version() == proposal.baseVersion() + 1 && newest.author().equals(proposal.author()));
 	}
 
 	/**
-	 * Makes the head of the next version: a delta to the one before, or a snapshot where
-	 * the chain of deltas has become long, the delta is large or a version was left out.
-	 * @param before the head of the version before
-	 * @param text its text
-	 * @param proposal what is to be accepted
+	 * Returns the header of the next version. It holds a delta to the previous version,
+	 * or refers to a new snapshot if the chain of deltas is too long, the delta is too
+	 * large or a version number was skipped.
+	 * @param previous the header of the previous version
+	 * @param text the text of the previous version
+	 * @param proposal the proposal to store
 	 * @param version the number of the next version
-	 * @return the head
-	 * @throws ConfigException if the text is longer than the platform can hold
+	 * @return the header
+	 * @throws ConfigException if the text exceeds the size limit of the store
 	 */
-	private RevisionHead next(RevisionHead before, String text, Proposal proposal, long version) {
+	private RevisionHeader nextHeader(RevisionHeader previous, String text, Proposal proposal, long version) {
 		TextDelta delta = TextDelta.between(text, proposal.text());
-		boolean small = delta.inserted().length() <= RevisionStore.LARGEST_DELTA;
-		boolean chained = version == before.version() + 1
-				&& version - before.snapshotVersion() <= RevisionStore.LONGEST_CHAIN;
+		boolean small = delta.inserted().length() <= RevisionReader.MAX_DELTA_CHARS;
+		boolean chained = version == previous.version() + 1
+				&& version - previous.snapshotVersion() <= RevisionReader.MAX_CHAIN_LENGTH;
 		if (!small || !chained) {
-			return snapshot(proposal, version, Optional.of(before.snapshot()));
+			return snapshotHeader(proposal, version, Optional.of(previous.snapshot()));
 		}
 		RevisionCodec.snapshot(proposal.text());
-		return new RevisionHead(version, proposal.author(), proposal.reason(), now(),
-				RevisionHead.digest(proposal.text()), before.snapshotVersion(), before.snapshot(), Optional.of(delta),
-				Optional.empty());
+		return new RevisionHeader(version, proposal.author(), proposal.reason(), now(),
+				RevisionHeader.digest(proposal.text()), previous.snapshotVersion(), previous.snapshot(),
+				Optional.of(delta), Optional.empty());
 	}
 
-	private RevisionHead snapshot(Proposal proposal, long version, Optional<String> replaced) {
-		String digest = RevisionHead.digest(proposal.text());
-		return new RevisionHead(version, proposal.author(), proposal.reason(), now(), digest, version,
-				RevisionStore.snapshotName(version, digest), Optional.empty(), replaced);
+	private RevisionHeader snapshotHeader(Proposal proposal, long version, Optional<String> replacedSnapshot) {
+		String digest = RevisionHeader.digest(proposal.text());
+		return new RevisionHeader(version, proposal.author(), proposal.reason(), now(), digest, version,
+				RevisionReader.snapshotName(version, digest), Optional.empty(), replacedSnapshot);
 	}
 
 	private Instant now() {
 		return this.clock.instant().truncatedTo(ChronoUnit.MILLIS);
 	}
 
-	private CompletableFuture<Boolean> writeSnapshot(RevisionHead fresh, Proposal proposal) {
-		if (fresh.delta().isPresent()) {
+	private CompletableFuture<Boolean> writeSnapshot(RevisionHeader created, Proposal proposal) {
+		if (created.delta().isPresent()) {
 			return CompletableFuture.completedFuture(true);
 		}
-		return createOnce(ObjectKey.of(Kind.CONFIG, fresh.snapshot()), RevisionCodec.snapshot(proposal.text()),
-				RevisionStore.SNAPSHOT_LABELS);
+		return createOnce(ObjectKey.of(Kind.CONFIG, created.snapshot()), RevisionCodec.snapshot(proposal.text()),
+				RevisionReader.SNAPSHOT_LABELS);
 	}
 
-	private CompletableFuture<Boolean> keep(Stored seen, RevisionHead head) {
-		return createOnce(RevisionStore.changeKey(head.version()), seen.text(), RevisionStore.HISTORY_LABELS);
+	private CompletableFuture<Boolean> archive(Stored seen, RevisionHeader header) {
+		return createOnce(RevisionReader.changeKey(header.version()), seen.text(), RevisionReader.HISTORY_LABELS);
 	}
 
 	private CompletableFuture<Boolean> createOnce(ObjectKey key, String value, Labels labels) {
@@ -248,15 +253,15 @@
 				return CompletableFuture.completedFuture(true);
 			}
 			return CompletableFuture.<Boolean>failedFuture(failure);
-		}).thenCompose((settled) -> settled);
+		}).thenCompose((future) -> future);
 	}
 
-	private CompletableFuture<Revision> settle(RevisionHead fresh, Throwable failure, Proposal proposal) {
+	private CompletableFuture<Revision> resolve(RevisionHeader created, Throwable failure, Proposal proposal) {
 		if (failure == null) {
-			return CompletableFuture.completedFuture(fresh.with(proposal.text()));
+			return CompletableFuture.completedFuture(created.toRevision(proposal.text()));
 		}
 		if (isUnknown(failure)) {
-			return findAccepted(fresh, failure, proposal);
+			return findAccepted(created, failure, proposal);
 		}
 		if (!isConflict(failure)) {
 			return CompletableFuture.failedFuture(failure);
@@ -266,22 +271,22 @@
 	}
 
 	/**
-	 * Looks for a change whose write was not confirmed. Another operator may have
-	 * replaced it already; then its head is in the history, and telling its author that
-	 * it was refused would be wrong.
-	 * @param fresh the head that was written
-	 * @param failure what the write failed with
-	 * @param proposal what was to be accepted
-	 * @return the revision if it was accepted; else fails with the failure
+	 * Checks whether a write with unknown outcome was applied. Another operator may
+	 * already have replaced the revision, so its header is looked up in the history too;
+	 * otherwise an accepted change would be reported as failed.
+	 * @param created the header that was written
+	 * @param failure the failure of the write
+	 * @param proposal the proposal that was written
+	 * @return the revision if it was accepted; otherwise fails with {@code failure}
 	 */
-	private CompletableFuture<Revision> findAccepted(RevisionHead fresh, Throwable failure, Proposal proposal) {
+	private CompletableFuture<Revision> findAccepted(RevisionHeader created, Throwable failure, Proposal proposal) {
 		return this.store.read(NEWEST)
-			.thenCombine(this.store.read(RevisionStore.changeKey(fresh.version())),
+			.thenCombine(this.store.read(RevisionReader.changeKey(created.version())),
 					(newest, kept) -> Stream.of(newest, kept)
 						.flatMap(Optional::stream)
-						.map(ContractRepository::head)
-						.anyMatch(fresh::equals))
-			.thenCompose((accepted) -> accepted ? CompletableFuture.completedFuture(fresh.with(proposal.text()))
+						.map(ContractRepository::header)
+						.anyMatch(created::equals))
+			.thenCompose((accepted) -> accepted ? CompletableFuture.completedFuture(created.toRevision(proposal.text()))
 					: CompletableFuture.failedFuture(failure));
 	}
 
@@ -294,17 +299,17 @@
 	}
 
 	private CompletableFuture<Revision> conflict(Revision newest, Proposal proposal) {
-		return revision(proposal.base()).thenCompose((base) -> CompletableFuture
-			.failedFuture(new ConfigException(ErrorCode.CONFIG_CONFLICT, words(base, newest, proposal))));
+		return revision(proposal.baseVersion()).thenCompose((base) -> CompletableFuture
+			.failedFuture(new ConfigException(ErrorCode.CONFIG_CONFLICT, conflictMessage(base, newest, proposal))));
 	}
 
-	private static String words(Optional<Revision> base, Revision newest, Proposal proposal) {
+	private static String conflictMessage(Optional<Revision> base, Revision newest, Proposal proposal) {
 		Optional<Contract> edited = base.map(ContractRepository::contract);
-		String theirs = changes(edited, contract(newest));
-		String own = changes(edited, Contract.parse(proposal.base() + 1, proposal.text()));
-		return proposal.author() + " edited version " + proposal.base() + ", but " + newest.title()
-				+ " was accepted since; " + newest.author() + " changed: " + theirs + "; " + proposal.author()
-				+ " changes: " + own;
+		String otherChanges = changes(edited, contract(newest));
+		String ownChanges = changes(edited, Contract.parse(proposal.baseVersion() + 1, proposal.text()));
+		return proposal.author() + " edited version " + proposal.baseVersion() + ", but " + newest.title()
+				+ " was accepted since; " + newest.author() + " changed: " + otherChanges + "; " + proposal.author()
+				+ " changes: " + ownChanges;
 	}
 
 	private static Contract contract(Revision revision) {
@@ -318,30 +323,31 @@
 	}
 
 	/**
-	 * Removes what is older than the history that is kept. A snapshot goes with the first
-	 * head that no longer needs it. The heads that the oldest kept text is put together
-	 * from stay.
+	 * Deletes the revision that falls out of the retained history. A snapshot is deleted
+	 * together with the header that replaced it, since no retained revision needs it
+	 * after that. The headers from which the oldest retained text is restored are kept.
 	 * @param accepted the newest revision
-	 * @param kept how many changes are kept
-	 * @return the newest revision, whatever becomes of the removal
+	 * @param retained the number of revisions to retain
+	 * @return the newest revision, also if the deletion fails
 	 */
-	private CompletableFuture<Revision> forget(Revision accepted, int kept) {
-		long last = accepted.version() - kept - RevisionStore.LONGEST_CHAIN;
+	private CompletableFuture<Revision> pruneHistory(Revision accepted, int retained) {
+		long last = accepted.version() - retained - RevisionReader.MAX_CHAIN_LENGTH;
 		if (last <= 0) {
 			return CompletableFuture.completedFuture(accepted);
 		}
-		return this.store.read(RevisionStore.changeKey(last))
-			.thenCompose((found) -> found.map(this::remove).orElseGet(() -> CompletableFuture.completedFuture(false)))
-			.handle((gone, failure) -> accepted);
+		return this.store.read(RevisionReader.changeKey(last))
+			.thenCompose(
+					(found) -> found.map(this::removeChange).orElseGet(() -> CompletableFuture.completedFuture(false)))
+			.handle((deleted, failure) -> accepted);
 	}
 
-	private CompletableFuture<Boolean> remove(Stored change) {
-		CompletableFuture<Boolean> snapshot = head(change).replaced()
+	private CompletableFuture<Boolean> removeChange(Stored change) {
+		CompletableFuture<Boolean> snapshot = header(change).replacedSnapshot()
 			.map((name) -> this.store.read(ObjectKey.of(Kind.CONFIG, name))
 				.thenCompose((found) -> found.map((stored) -> this.store.delete(stored.key(), stored.version()))
 					.orElseGet(() -> CompletableFuture.completedFuture(false))))
 			.orElseGet(() -> CompletableFuture.completedFuture(false));
-		return snapshot.thenCompose((gone) -> this.store.delete(change.key(), change.version()));
+		return snapshot.thenCompose((deleted) -> this.store.delete(change.key(), change.version()));
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractRules.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractRules.java
@@ -8,84 +8,86 @@
 import java.util.Set;
 
 /**
- * Checks what concerns several places of a text at once: names that must exist,
- * dependencies that must not form a cycle, and replicas for which there must be room.
+ * Checks the constraints that span several values of a contract: references must resolve,
+ * dependencies must be acyclic, and replicas must fit the upstreams and failure domains
+ * of their service.
  */
 final class ContractRules {
 
 	private final Contract contract;
 
-	private final Map<String, Place> places;
+	private final Map<String, SourcePosition> positions;
 
-	private final Problems problems;
+	private final ProblemCollector problems;
 
-	private ContractRules(Contract contract, Map<String, Place> places, Problems problems) {
+	private ContractRules(Contract contract, Map<String, SourcePosition> positions, ProblemCollector problems) {
 		this.contract = contract;
-		this.places = places;
+		this.positions = positions;
 		this.problems = problems;
 	}
 
-	static void check(Contract contract, Map<String, Place> places, Problems problems) {
-		ContractRules rules = new ContractRules(contract, places, problems);
+	static void check(Contract contract, Map<String, SourcePosition> positions, ProblemCollector problems) {
+		ContractRules rules = new ContractRules(contract, positions, problems);
 		if (contract.services().isEmpty()) {
-			problems.error(Place.START, "the text has no service", "add \"services\": [{...}]");
+			problems.error(SourcePosition.START, "the text has no service", "add \"services\": [{...}]");
 		}
 		for (Service service : contract.services()) {
-			rules.names(service);
-			rules.kind(service);
-			rules.capacity(service);
+			rules.checkReferences(service);
+			rules.checkType(service);
+			rules.checkReplicas(service);
 		}
-		rules.cycles();
+		rules.checkCycles();
 	}
 
-	private void names(Service service) {
+	private void checkReferences(Service service) {
 		Set<String> domains = new HashSet<>();
 		this.contract.regions().values().forEach(domains::addAll);
 		for (String domain : service.failureDomains()) {
 			if (!domains.contains(domain)) {
-				this.problems.error(place(service, "failure domain " + domain),
+				this.problems.error(position(service, "failure domain " + domain),
 						"failure domain '" + domain + "' is in no region",
 						"add it to a region or correct its spelling");
 			}
 		}
 		for (String dependency : service.dependsOn()) {
 			if (this.contract.service(dependency).isEmpty()) {
-				this.problems.error(place(service, "dependency " + dependency),
+				this.problems.error(position(service, "dependency " + dependency),
 						"service '" + dependency + "' does not exist",
 						"add the service, remove the dependency or correct its spelling");
 			}
 		}
 	}
 
-	private void kind(Service service) {
-		Place place = this.places.getOrDefault("service " + service.name(), Place.START);
+	private void checkType(Service service) {
+		SourcePosition position = this.positions.getOrDefault("service " + service.name(), SourcePosition.START);
 		if (service.type() == ServiceType.MODEL && service.models().isEmpty()) {
-			this.problems.error(place, "service '" + service.name() + "' has no model",
+			this.problems.error(position, "service '" + service.name() + "' has no model",
 					"add \"models\": [{...}] or set \"type\": \"plain\"");
 		}
 		if (service.type() == ServiceType.PLAIN && !service.models().isEmpty()) {
-			this.problems.error(place, "plain service '" + service.name() + "' lists models",
+			this.problems.error(position, "plain service '" + service.name() + "' lists models",
 					"remove the models or set \"type\": \"model\"");
 		}
 		if (service.failureDomains().isEmpty()) {
-			this.problems.error(place, "service '" + service.name() + "' stands in no failure domain",
+			this.problems.error(position, "service '" + service.name() + "' stands in no failure domain",
 					"add \"failureDomains\": [\"...\"]");
 		}
 	}
 
-	private void capacity(Service service) {
+	private void checkReplicas(Service service) {
 		for (Model model : service.models()) {
 			Replicas replicas = model.replicas();
-			Place place = this.places.getOrDefault("model " + model.name() + " replicas", Place.START);
+			SourcePosition position = this.positions.getOrDefault("model " + model.name() + " replicas",
+					SourcePosition.START);
 			if (replicas.min() > service.upstreams()) {
-				this.problems.error(place,
+				this.problems.error(position,
 						"model '" + model.name() + "' needs " + replicas.min() + " replicas, but service '"
 								+ service.name() + "' has " + service.upstreams() + " upstreams",
 						"lower replicas.min or raise upstreams");
 			}
 			int domains = service.failureDomains().size();
 			if (replicas.failureDomains() > Math.min(domains, Math.max(1, replicas.min()))) {
-				this.problems.error(place,
+				this.problems.error(position,
 						"model '" + model.name() + "' cannot spread " + replicas.min() + " replicas over "
 								+ replicas.failureDomains() + " of " + domains + " failure domains",
 						"lower replicas.failureDomains, raise replicas.min or add failure domains to the service");
@@ -95,39 +97,39 @@
 
 	// -- cycles
 
-	private void cycles() {
-		Set<String> done = new HashSet<>();
+	private void checkCycles() {
+		Set<String> visited = new HashSet<>();
 		for (Service service : this.contract.services()) {
-			visit(service, new ArrayDeque<>(), done);
+			visit(service, new ArrayDeque<>(), visited);
 		}
 	}
 
-	private void visit(Service service, Deque<String> path, Set<String> done) {
-		if (done.contains(service.name())) {
+	private void visit(Service service, Deque<String> path, Set<String> visited) {
+		if (visited.contains(service.name())) {
 			return;
 		}
 		path.addLast(service.name());
 		for (String dependency : service.dependsOn()) {
 			if (path.contains(dependency)) {
-				cycle(service, dependency, List.copyOf(path));
+				reportCycle(service, dependency, List.copyOf(path));
 			}
 			else {
-				this.contract.service(dependency).ifPresent((next) -> visit(next, path, done));
+				this.contract.service(dependency).ifPresent((next) -> visit(next, path, visited));
 			}
 		}
 		path.removeLast();
-		done.add(service.name());
+		visited.add(service.name());
 	}
 
-	private void cycle(Service service, String dependency, List<String> path) {
+	private void reportCycle(Service service, String dependency, List<String> path) {
 		List<String> members = path.subList(path.indexOf(dependency), path.size());
-		this.problems.error(place(service, "dependency " + dependency),
+		this.problems.error(position(service, "dependency " + dependency),
 				"services depend on each other in a cycle: " + String.join(" -> ", members) + " -> " + dependency,
 				"remove one of these dependencies");
 	}
 
-	private Place place(Service service, String reference) {
-		return this.places.getOrDefault("service " + service.name() + " " + reference, Place.START);
+	private SourcePosition position(Service service, String reference) {
+		return this.positions.getOrDefault("service " + service.name() + " " + reference, SourcePosition.START);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ContractWatch.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ContractWatch.java
@@ -15,143 +15,145 @@
 import org.ragworthook.core.time.Timers;
 
 /**
- * Keeps {@link ActiveContract} up with the platform: lists, watches from there, and lists
- * again whenever the watch ends.
+ * Keeps an {@link ActiveContract} up to date with the object store: lists the newest
+ * revision, watches from the version of that listing, and lists again when the watch
+ * ends.
  * <p>
- * A watch can also fall silent without ending. The process would then act by an old text
- * while its peers moved on, so it lists again from time to time as well. Delays are drawn
- * at random within their bounds, or all entries would come back at once after an outage.
+ * A watch can also stall without ending, which would leave the process on an outdated
+ * contract, so it lists periodically as well. Delays are jittered so that entries do not
+ * all reconnect at once after an outage.
  */
 public final class ContractWatch implements AutoCloseable {
 
-	/** Longest pause between two listings while a watch is open. */
-	public static final Duration RELIST = Duration.ofSeconds(60);
+	/** Maximum interval between two listings while a watch is open. */
+	public static final Duration MAX_RELIST_INTERVAL = Duration.ofSeconds(60);
 
-	private static final Duration FIRST_RETRY = Duration.ofMillis(200);
+	private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(200);
 
-	private static final Duration LAST_RETRY = Duration.ofSeconds(5);
+	private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(5);
 
 	private final ObjectStore store;
 
-	private final ActiveContract inForce;
+	private final ActiveContract active;
 
 	private final Timers timers;
 
 	private final RandomGenerator random;
 
-	private final Executor work;
+	private final Executor executor;
 
-	private final RevisionStore revisions;
+	private final RevisionReader revisions;
 
-	private final Consumer<Throwable> failures;
+	private final Consumer<Throwable> failureHandler;
 
-	private final AtomicLong round = new AtomicLong();
+	private final AtomicLong generation = new AtomicLong();
 
 	private ObjectStore.Watch watch;
 
-	private Duration retry = FIRST_RETRY;
+	private Duration retryDelay = INITIAL_RETRY_DELAY;
 
 	private boolean closed;
 
-	private ContractWatch(ObjectStore store, ActiveContract inForce, Timers timers, RandomGenerator random,
-			Executor work, Consumer<Throwable> failures) {
+	private ContractWatch(ObjectStore store, ActiveContract active, Timers timers, RandomGenerator random,
+			Executor executor, Consumer<Throwable> failureHandler) {
 		this.store = Objects.requireNonNull(store, "store is null");
-		this.inForce = Objects.requireNonNull(inForce, "inForce is null");
+		this.active = Objects.requireNonNull(active, "active is null");
 		this.timers = Objects.requireNonNull(timers, "timers is null");
 		this.random = Objects.requireNonNull(random, "random is null");
-		this.work = Objects.requireNonNull(work, "work is null");
-		this.revisions = RevisionStore.of(store);
-		this.failures = Objects.requireNonNull(failures, "failures is null");
+		this.executor = Objects.requireNonNull(executor, "executor is null");
+		this.revisions = RevisionReader.of(store);
+		this.failureHandler = Objects.requireNonNull(failureHandler, "failureHandler is null");
 	}
 
 	/**
-	 * Starts to watch.
-	 * @param store the platform
-	 * @param inForce what to keep up
-	 * @param timers delays listings
-	 * @param random draws delays
-	 * @param work reads texts; a long one takes some milliseconds, which must not be an
-	 * event loop's
-	 * @param failures is told of listings that failed and of texts that cannot be read
-	 * @return the watch, which goes on until it is closed
+	 * Starts to follow the newest revision.
+	 * @param store the object store
+	 * @param active the active contract to update
+	 * @param timers schedules listings
+	 * @param random the source of jitter
+	 * @param executor parses contracts; must not be an event loop, since a large contract
+	 * takes several milliseconds
+	 * @param failureHandler called for failed listings and for revisions that cannot be
+	 * read or parsed
+	 * @return the watch, which runs until it is closed
 	 */
-	public static ContractWatch start(ObjectStore store, ActiveContract inForce, Timers timers, RandomGenerator random,
-			Executor work, Consumer<Throwable> failures) {
-		ContractWatch started = new ContractWatch(store, inForce, timers, random, work, failures);
-		started.list(started.round.incrementAndGet());
-		return started;
+	public static ContractWatch start(ObjectStore store, ActiveContract active, Timers timers, RandomGenerator random,
+			Executor executor, Consumer<Throwable> failureHandler) {
+		ContractWatch created = new ContractWatch(store, active, timers, random, executor, failureHandler);
+		created.list(created.generation.incrementAndGet());
+		return created;
 	}
 
 	private void list(long current) {
-		if (isOver(current)) {
+		if (isStale(current)) {
 			return;
 		}
 		this.store.list(Kind.CONFIG, ContractRepository.NEWEST_LABELS).whenComplete((listing, failure) -> {
 			if (failure != null) {
-				this.failures.accept(failure);
-				again(current, backOff());
+				this.failureHandler.accept(failure);
+				scheduleListing(current, nextRetryDelay());
 			}
 			else {
-				follow(current, listing);
+				openWatch(current, listing);
 			}
 		});
 	}
 
-	private void follow(long current, Listing listing) {
-		listing.objects().forEach((object) -> take(current, object));
+	private void openWatch(long current, Listing listing) {
+		listing.objects().forEach((object) -> restoreIfNewest(current, object));
 		ObjectStore.Watch opened = this.store.watch(Kind.CONFIG, ContractRepository.NEWEST_LABELS, listing.version(),
 				(event) -> {
-					recovered();
+					resetRetryDelay();
 					if (!event.gone()) {
-						take(current, event.object());
+						restoreIfNewest(current, event.object());
 					}
-				}, () -> again(current, backOff()));
+				}, () -> scheduleListing(current, nextRetryDelay()));
 		if (!replaceWatch(current, opened)) {
 			opened.close();
 			return;
 		}
-		this.timers.schedule(between(RELIST.dividedBy(2), RELIST), () -> {
-			recovered();
-			again(current, Duration.ZERO);
+		this.timers.schedule(randomBetween(MAX_RELIST_INTERVAL.dividedBy(2), MAX_RELIST_INTERVAL), () -> {
+			resetRetryDelay();
+			scheduleListing(current, Duration.ZERO);
 		});
 	}
 
-	private void take(long current, Stored object) {
+	private void restoreIfNewest(long current, Stored object) {
 		if (ContractRepository.NEWEST.equals(object.key())) {
-			this.work.execute(() -> restore(current, object));
+			this.executor.execute(() -> restore(current, object));
 		}
 	}
 
-	// A text that cannot be put together, because a part of it could not be read, would
-	// stay out of force until the next change; so the listing is repeated soon.
+	// Lists again after a failed restore: otherwise a revision that could not be read
+	// completely would stay inactive until the next change.
 	private void restore(long current, Stored object) {
 		try {
-			this.revisions.restore(RevisionCodec.parseHead(object.text()))
-				.thenAcceptAsync(this.inForce::offer, this.work)
+			this.revisions.restore(RevisionCodec.parseHeader(object.text()))
+				.thenAcceptAsync(this.active::offer, this.executor)
 				.whenComplete((done, failure) -> {
 					if (failure != null) {
-						this.failures.accept(failure);
-						again(current, backOff());
+						this.failureHandler.accept(failure);
+						scheduleListing(current, nextRetryDelay());
 					}
 				});
 		}
 		catch (ConfigException ex) {
-			this.failures.accept(ex);
+			this.failureHandler.accept(ex);
 		}
 	}
 
-	private void again(long current, Duration delay) {
-		if (this.round.compareAndSet(current, current + 1)) {
+	private void scheduleListing(long current, Duration delay) {
+		if (this.generation.compareAndSet(current, current + 1)) {
 			this.timers.schedule(delay, () -> list(current + 1));
 		}
 	}
 
-	private boolean isOver(long current) {
-		return this.round.get() != current;
+	private boolean isStale(long current) {
+		return this.generation.get() != current;
 	}
 
 	private synchronized boolean replaceWatch(long current, ObjectStore.Watch opened) {
-		if (this.closed || isOver(current)) {
+		if (this.closed || isStale(current)) {
 			return false;
 		}
 		if (this.watch != null) {
@@ -161,24 +163,24 @@
 		return true;
 	}
 
-	private synchronized Duration backOff() {
-		Duration delay = between(this.retry.dividedBy(2), this.retry);
-		Duration doubled = this.retry.multipliedBy(2);
-		this.retry = (doubled.compareTo(LAST_RETRY) < 0) ? doubled : LAST_RETRY;
+	private synchronized Duration nextRetryDelay() {
+		Duration delay = randomBetween(this.retryDelay.dividedBy(2), this.retryDelay);
+		Duration doubled = this.retryDelay.multipliedBy(2);
+		this.retryDelay = (doubled.compareTo(MAX_RETRY_DELAY) < 0) ? doubled : MAX_RETRY_DELAY;
 		return delay;
 	}
 
-	private synchronized void recovered() {
-		this.retry = FIRST_RETRY;
+	private synchronized void resetRetryDelay() {
+		this.retryDelay = INITIAL_RETRY_DELAY;
 	}
 
-	private Duration between(Duration least, Duration most) {
-		return Duration.ofNanos(this.random.nextLong(least.toNanos(), most.toNanos() + 1));
+	private Duration randomBetween(Duration min, Duration max) {
+		return Duration.ofNanos(this.random.nextLong(min.toNanos(), max.toNanos() + 1));
 	}
 
 	@Override
 	public void close() {
-		this.round.incrementAndGet();
+		this.generation.incrementAndGet();
 		synchronized (this) {
 			this.closed = true;
 			if (this.watch != null) {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/KeyHash.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/KeyHash.java
@@ -8,10 +8,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The hash of a bearer key. Texts and settings hold hashes only, so that whoever reads
- * them cannot call in an account's name.
+ * The hash of an API key. Contracts and settings contain hashes only, so that reading
+ * them does not allow calling as an account.
  *
- * @param text the hash as the text holds it, {@code sha256:} and 64 hexadecimal digits
+ * @param text the encoded hash, {@code sha256:} and 64 lower-case hexadecimal digits
  */
 public record KeyHash(String text) {
 
@@ -20,8 +20,8 @@
 	private static final Pattern FORM = Pattern.compile(PREFIX + "[0-9a-f]{64}");
 
 	/**
-	 * Checks the form.
-	 * @throws IllegalArgumentException if the text is not such a hash
+	 * Checks the format.
+	 * @throws IllegalArgumentException if the text is not in this format
 	 */
 	public KeyHash {
 		if (!isValid(text)) {
@@ -30,8 +30,8 @@
 	}
 
 	/**
-	 * Hashes a key.
-	 * @param bearerKey the key as a caller sends it
+	 * Returns the hash of a key.
+	 * @param bearerKey the plain key as sent by the caller
 	 * @return its hash
 	 */
 	public static KeyHash of(String bearerKey) {
@@ -46,8 +46,8 @@
 	}
 
 	/**
-	 * Tells whether a text has the form of a hash.
-	 * @param text what to look at
+	 * Returns whether a text is a well-formed hash.
+	 * @param text the text to check
 	 * @return whether it is {@code sha256:} and 64 hexadecimal digits in lower case
 	 */
 	public static boolean isValid(String text) {
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	 * Compares two hashes in a time that does not depend on where they differ.
+	 * Compares two hashes in constant time.
 	 * @param other the other hash
-	 * @return whether they are the same
+	 * @return whether the hashes are equal
 	 */
 	public boolean matches(KeyHash other) {
 		return MessageDigest.isEqual(this.text.getBytes(StandardCharsets.US_ASCII),
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Limits.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Limits.java
@@ -1,19 +1,19 @@
 package org.ragworthook.core.contract;
 
 /**
- * What an account may use at most. A limit of zero means that there is none.
+ * The rate and concurrency limits of an account. Zero means unlimited.
  *
- * @param requestsPerSecond online requests a second
- * @param inFlight requests that run or wait at once
- * @param tokensPerSecond generated tokens a second
+ * @param requestsPerSecond online requests per second
+ * @param inFlight concurrent requests, running or waiting
+ * @param tokensPerSecond generated tokens per second
  */
 public record Limits(int requestsPerSecond, int inFlight, int tokensPerSecond) {
 
 	private static final Limits NONE = new Limits(0, 0, 0);
 
 	/**
-	 * Returns limits that hold nothing back.
-	 * @return no limits
+	 * Returns limits that do not restrict anything.
+	 * @return unlimited limits
 	 */
 	public static Limits none() {
 		return NONE;
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Model.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Model.java
@@ -4,17 +4,18 @@
 import java.util.Objects;
 
 /**
- * A model that a service needs on its upstreams.
+ * A model that a service runs on its upstreams.
  *
- * @param name the name by which callers ask for it
- * @param version the version that is to answer
- * @param adapters names of adapters on top of it; callers ask for one as for a model
- * @param replicas how many upstreams hold it
+ * @param name the name that requests use
+ * @param version the version to serve
+ * @param adapters the names of adapters of this model; a request may name an adapter in
+ * place of a model
+ * @param replicas the number of upstreams that load the model, and their spread
  */
 public record Model(String name, String version, List<String> adapters, Replicas replicas) {
 
 	/**
-	 * Copies the adapters.
+	 * Checks that no component is null and copies the adapters.
 	 */
 	public Model {
 		Objects.requireNonNull(name, "name is null");
@@ -24,7 +25,7 @@
 	}
 
 	/**
-	 * Returns name and version as one, as upstreams report what they hold.
+	 * Returns the identifier under which upstreams report a loaded model.
 	 * @return {@code name@version}
 	 */
 	public String id() {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Node.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Node.java
@@ -4,64 +4,65 @@
 import java.util.Map;
 
 /**
- * A JSON value that knows where it stands in its text.
+ * A JSON value with its position in the source text.
  */
-sealed interface Node permits Node.Members, Node.Elements, Node.Scalar {
+sealed interface Node permits Node.ObjectValue, Node.ArrayValue, Node.Scalar {
 
 	/**
-	 * Returns where the value begins.
-	 * @return the place
+	 * Returns the position of the start of the value.
+	 * @return the position
 	 */
-	Place place();
+	SourcePosition position();
 
 	/**
-	 * Returns what kind of value this is, for messages.
+	 * Returns the name of the type of this value, for error messages.
 	 * @return a noun with its article
 	 */
-	String kind();
+	String typeName();
 
 	/**
-	 * An object.
+	 * A JSON object.
 	 *
-	 * @param place where it begins
-	 * @param values its values by key, in order of the text
-	 * @param keys where each key stands
+	 * @param position the position of the opening bracket
+	 * @param values the values by key, in the order of the text
+	 * @param keyPositions the position of each key
 	 */
-	record Members(Place place, Map<String, Node> values, Map<String, Place> keys) implements Node {
+	record ObjectValue(SourcePosition position, Map<String, Node> values,
+			Map<String, SourcePosition> keyPositions) implements Node {
 
 		@Override
-		public String kind() {
+		public String typeName() {
 			return "an object";
 		}
 
 	}
 
 	/**
-	 * An array.
+	 * A JSON array.
 	 *
-	 * @param place where it begins
-	 * @param values its values
+	 * @param position the position of the opening bracket
+	 * @param values the elements
 	 */
-	record Elements(Place place, List<Node> values) implements Node {
+	record ArrayValue(SourcePosition position, List<Node> values) implements Node {
 
 		@Override
-		public String kind() {
+		public String typeName() {
 			return "an array";
 		}
 
 	}
 
 	/**
-	 * A text, a number, a truth value or null.
+	 * A string, number, boolean or null.
 	 *
-	 * @param place where it stands
-	 * @param type what it is
-	 * @param text its value as it was written, without quotes
+	 * @param position the position of the value
+	 * @param type the type of the value
+	 * @param text the value as written, without quotes
 	 */
-	record Scalar(Place place, Type type, String text) implements Node {
+	record Scalar(SourcePosition position, Type type, String text) implements Node {
 
 		@Override
-		public String kind() {
+		public String typeName() {
 			return this.type.noun;
 		}
 
@@ -73,16 +74,16 @@
 	enum Type {
 
 		/** A string. */
-		TEXT("a string"),
+		STRING("a string"),
 
 		/** A number without a fraction. */
 		INTEGER("a whole number"),
 
 		/** A number with a fraction. */
-		FRACTION("a number with a fraction"),
+		DECIMAL("a number with a fraction"),
 
 		/** True or false. */
-		FLAG("true or false"),
+		BOOLEAN("true or false"),
 
 		/** Null. */
 		NULL("null");
--- a/modules/core/src/main/java/org/ragworthook/core/contract/NodeReader.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/NodeReader.java
@@ -16,8 +16,8 @@
 import com.fasterxml.jackson.core.json.JsonReadFeature;
 
 /**
- * Reads JSON with comments into nodes that know their place. The parser is Jackson's;
- * only its data binding is left aside, because that stops at the first mistake.
+ * Parses JSON with comments into a tree of nodes with positions. Uses Jackson's streaming
+ * parser instead of its data binding, which would stop at the first schema error.
  */
 final class NodeReader {
 
@@ -27,87 +27,88 @@
 
 	private final JsonParser parser;
 
-	private final Problems problems;
+	private final ProblemCollector problems;
 
-	private NodeReader(JsonParser parser, Problems problems) {
+	private NodeReader(JsonParser parser, ProblemCollector problems) {
 		this.parser = parser;
 		this.problems = problems;
 	}
 
-	static Optional<Node> read(String text, Problems problems) {
+	static Optional<Node> read(String text, ProblemCollector problems) {
 		try (JsonParser parser = FACTORY.createParser(text)) {
 			NodeReader reader = new NodeReader(parser, problems);
 			if (parser.nextToken() == null) {
-				problems.error(Place.START, "the text is empty", "write a JSON object; examples/ holds two");
+				problems.error(SourcePosition.START, "the text is empty", "write a JSON object; examples/ holds two");
 				return Optional.empty();
 			}
 			Node root = reader.value();
 			if (parser.nextToken() != null) {
-				problems.error(reader.place(), "something follows the end of the object", "remove it");
+				problems.error(reader.position(), "something follows the end of the object", "remove it");
 				return Optional.empty();
 			}
 			return Optional.of(root);
 		}
 		catch (JsonProcessingException ex) {
-			problems.error(place(ex.getLocation()), "not well-formed JSON: " + ex.getOriginalMessage(),
+			problems.error(position(ex.getLocation()), "not well-formed JSON: " + ex.getOriginalMessage(),
 					"mend the JSON here; comments and a trailing comma are allowed");
 			return Optional.empty();
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a text in memory cannot fail to be read", ex);
+			throw new IllegalStateException("I/O error while reading JSON from a string", ex);
 		}
 	}
 
 	private Node value() throws IOException {
-		Place place = place();
+		SourcePosition position = position();
 		JsonToken token = this.parser.currentToken();
 		if (token == JsonToken.START_OBJECT) {
-			return members(place);
+			return object(position);
 		}
 		if (token == JsonToken.START_ARRAY) {
-			return elements(place);
+			return elements(position);
 		}
-		return new Node.Scalar(place, type(token), this.parser.getText());
+		return new Node.Scalar(position, type(token), this.parser.getText());
 	}
 
-	private Node members(Place place) throws IOException {
+	private Node object(SourcePosition position) throws IOException {
 		Map<String, Node> values = new LinkedHashMap<>();
-		Map<String, Place> keys = new LinkedHashMap<>();
+		Map<String, SourcePosition> keyPositions = new LinkedHashMap<>();
 		while (this.parser.nextToken() != JsonToken.END_OBJECT) {
 			String key = this.parser.currentName();
-			Place at = place();
+			SourcePosition at = position();
 			this.parser.nextToken();
 			Node value = value();
 			if (values.putIfAbsent(key, value) != null) {
 				this.problems.error(at, "key '" + key + "' stands twice in one object", "remove one of the two");
 			}
-			keys.putIfAbsent(key, at);
+			keyPositions.putIfAbsent(key, at);
 		}
-		return new Node.Members(place, values, keys);
+		return new Node.ObjectValue(position, values, keyPositions);
 	}
 
-	private Node elements(Place place) throws IOException {
+	private Node elements(SourcePosition position) throws IOException {
 		List<Node> values = new ArrayList<>();
 		while (this.parser.nextToken() != JsonToken.END_ARRAY) {
 			values.add(value());
 		}
-		return new Node.Elements(place, values);
+		return new Node.ArrayValue(position, values);
 	}
 
-	private Place place() {
-		return place(this.parser.currentTokenLocation());
+	private SourcePosition position() {
+		return position(this.parser.currentTokenLocation());
 	}
 
-	private static Place place(JsonLocation location) {
-		return (location != null) ? new Place(location.getLineNr(), location.getColumnNr()) : Place.START;
+	private static SourcePosition position(JsonLocation location) {
+		return (location != null) ? new SourcePosition(location.getLineNr(), location.getColumnNr())
+				: SourcePosition.START;
 	}
 
 	private static Node.Type type(JsonToken token) {
 		return switch (token) {
-			case VALUE_STRING -> Node.Type.TEXT;
+			case VALUE_STRING -> Node.Type.STRING;
 			case VALUE_NUMBER_INT -> Node.Type.INTEGER;
-			case VALUE_NUMBER_FLOAT -> Node.Type.FRACTION;
-			case VALUE_TRUE, VALUE_FALSE -> Node.Type.FLAG;
+			case VALUE_NUMBER_FLOAT -> Node.Type.DECIMAL;
+			case VALUE_TRUE, VALUE_FALSE -> Node.Type.BOOLEAN;
 			default -> Node.Type.NULL;
 		};
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/NodeWriter.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/NodeWriter.java
@@ -10,8 +10,8 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 
 /**
- * Writes nodes as JSON without comments and spaces, so that two sections are the same
- * text if they mean the same.
+ * Writes nodes as JSON without comments and whitespace, so that sections that differ only
+ * in formatting are equal as strings.
  */
 final class NodeWriter {
 
@@ -26,23 +26,23 @@
 			write(node, generator);
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a text in memory cannot fail to be written", ex);
+			throw new IllegalStateException("I/O error while writing JSON to a string", ex);
 		}
 		return out.toString();
 	}
 
 	private static void write(Node node, JsonGenerator out) throws IOException {
-		if (node instanceof Node.Members members) {
+		if (node instanceof Node.ObjectValue object) {
 			out.writeStartObject();
-			for (Map.Entry<String, Node> entry : members.values().entrySet()) {
+			for (Map.Entry<String, Node> entry : object.values().entrySet()) {
 				out.writeFieldName(entry.getKey());
 				write(entry.getValue(), out);
 			}
 			out.writeEndObject();
 		}
-		else if (node instanceof Node.Elements elements) {
+		else if (node instanceof Node.ArrayValue array) {
 			out.writeStartArray();
-			for (Node element : elements.values()) {
+			for (Node element : array.values()) {
 				write(element, out);
 			}
 			out.writeEndArray();
@@ -54,10 +54,10 @@
 
 	private static void write(Node.Scalar scalar, JsonGenerator out) throws IOException {
 		switch (scalar.type()) {
-			case TEXT -> out.writeString(scalar.text());
+			case STRING -> out.writeString(scalar.text());
 			case INTEGER -> out.writeNumber(new BigInteger(scalar.text()));
-			case FRACTION -> out.writeNumber(new BigDecimal(scalar.text()));
-			case FLAG -> out.writeBoolean(Boolean.parseBoolean(scalar.text()));
+			case DECIMAL -> out.writeNumber(new BigDecimal(scalar.text()));
+			case BOOLEAN -> out.writeBoolean(Boolean.parseBoolean(scalar.text()));
 			default -> out.writeNull();
 		}
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/OpenJobCounts.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/OpenJobCounts.java
@@ -6,17 +6,19 @@
 import java.util.Objects;
 
 /**
- * Jobs that were accepted and have not ended, counted by what they need of the text.
+ * The numbers of open jobs (accepted and not ended) that depend on each account and
+ * model.
  *
- * @param jobsByAccount open jobs by name of their account
- * @param jobsByModel open jobs by the model, adapter or service that they ask for
+ * @param jobsByAccount the number of open jobs by account name
+ * @param jobsByModel the number of open jobs by the model, adapter or service that they
+ * request
  */
 public record OpenJobCounts(Map<String, Integer> jobsByAccount, Map<String, Integer> jobsByModel) {
 
 	private static final OpenJobCounts NONE = new OpenJobCounts(Map.of(), Map.of());
 
 	/**
-	 * Copies the counts.
+	 * Copies the maps.
 	 */
 	public OpenJobCounts {
 		jobsByAccount = Map.copyOf(Objects.requireNonNull(jobsByAccount, "jobsByAccount is null"));
@@ -24,7 +26,7 @@
 	}
 
 	/**
-	 * Returns no work.
+	 * Returns counts without any open job.
 	 * @return the empty counts
 	 */
 	public static OpenJobCounts none() {
@@ -32,16 +34,16 @@
 	}
 
 	/**
-	 * Finds the work that could not be finished under a contract. Accepted and then left
-	 * without its model, a job would wait for ever; without its account nobody could read
-	 * its results.
-	 * @param contract the contract that would come into force
-	 * @return a warning for each account and model that is missing
+	 * Returns warnings for the jobs that could not be completed under a contract. A job
+	 * whose model is removed would wait forever; the results of a job whose account is
+	 * removed could not be read.
+	 * @param contract the contract that would become active
+	 * @return one warning for each missing account or model that open jobs need
 	 */
 	public List<Problem> strandedBy(Contract contract) {
 		List<Problem> stranded = new ArrayList<>();
 		this.jobsByAccount.forEach((account, jobs) -> {
-			if (contract.accounts().stream().noneMatch((present) -> present.name().equals(account))) {
+			if (contract.accounts().stream().noneMatch((configured) -> configured.name().equals(account))) {
 				stranded.add(warning("account " + account, jobs));
 			}
 		});
@@ -53,9 +55,9 @@
 		return stranded;
 	}
 
-	private static Problem warning(String what, int jobs) {
-		return new Problem(Problem.Severity.WARNING, Place.START.line(), Place.START.column(),
-				what + " is gone, but " + jobs + " accepted jobs need it",
+	private static Problem warning(String user, int jobs) {
+		return new Problem(Problem.Severity.WARNING, SourcePosition.START.line(), SourcePosition.START.column(),
+				user + " is gone, but " + jobs + " accepted jobs need it",
 				"keep it until the jobs have ended, cancel them, or apply with --strand");
 	}
 
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Operator.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Operator.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * Somebody who may change the text. An operator's key opens the operators' calls only,
- * never a caller's.
+ * An operator that may change the contract. Its keys authorise the admin API only, not
+ * calls to services.
  *
- * @param name the name under which changes appear in the history
+ * @param name the name recorded as the author of revisions
  * @param keys the hashes of the operator's keys
  */
 public record Operator(String name, List<KeyHash> keys) {
 
 	/**
-	 * Copies the keys.
+	 * Checks that no component is null and copies the keys.
 	 */
 	public Operator {
 		Objects.requireNonNull(name, "name is null");
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Problem.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Problem.java
@@ -3,18 +3,18 @@
 import java.util.Objects;
 
 /**
- * Something found in a text.
+ * An error or warning found while validating a contract.
  *
- * @param severity whether it keeps the text from being accepted
- * @param line its line, from 1
- * @param column its column, from 1
- * @param message what is wrong
- * @param remedy what to do about it
+ * @param severity whether the contract is rejected because of it
+ * @param line the line in the text, starting at 1
+ * @param column the column in the text, starting at 1
+ * @param message a description of the problem
+ * @param remedy how to fix it
  */
 public record Problem(Severity severity, int line, int column, String message, String remedy) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public Problem {
 		Objects.requireNonNull(severity, "severity is null");
@@ -23,8 +23,8 @@
 	}
 
 	/**
-	 * Tells whether the text cannot be accepted because of this.
-	 * @return whether it is an error
+	 * Returns whether the contract is rejected because of this problem.
+	 * @return whether the severity is {@link Severity#ERROR}
 	 */
 	public boolean isError() {
 		return this.severity == Severity.ERROR;
@@ -36,14 +36,14 @@
 	}
 
 	/**
-	 * How bad a problem is.
+	 * The severity of a problem.
 	 */
 	public enum Severity {
 
-		/** The text is refused. */
+		/** The contract is rejected. */
 		ERROR,
 
-		/** The text is accepted, and the operator is told. */
+		/** The contract is accepted, and the warning is shown to the operator. */
 		WARNING
 
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Proposal.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Proposal.java
@@ -3,18 +3,19 @@
 import java.util.Objects;
 
 /**
- * A text that an operator submits.
+ * A contract that an operator submits for acceptance.
  *
- * @param text the JSON with comments
- * @param base the version that the operator edited; 0 for the first text
- * @param author the operator
- * @param reason why, in the operator's words
- * @param strand whether accepted work may be left without its model or account
+ * @param text the contract as JSON with comments
+ * @param baseVersion the version that the operator edited, or 0 for the first contract
+ * @param author the name of the operator
+ * @param reason the reason given by the operator
+ * @param strandJobs whether to accept the contract even if open jobs lose their model or
+ * account
  */
-public record Proposal(String text, long base, String author, String reason, boolean strand) {
+public record Proposal(String text, long baseVersion, String author, String reason, boolean strandJobs) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public Proposal {
 		Objects.requireNonNull(text, "text is null");
--- a/modules/core/src/main/java/org/ragworthook/core/contract/RequestClass.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/RequestClass.java
@@ -3,18 +3,18 @@
 import java.util.Locale;
 
 /**
- * How urgent a request is.
+ * The priority class of a request.
  */
 public enum RequestClass {
 
-	/** Somebody waits for the answer. */
+	/** Interactive: a client is waiting for the response. */
 	ONLINE,
 
-	/** Due hours later; gives way to online requests. */
+	/** Due within hours; preempted by online requests. */
 	BATCH;
 
 	/**
-	 * Returns the name that texts and headers use.
+	 * Returns the name used in contracts and HTTP headers.
 	 * @return the name in lower case
 	 */
 	public String label() {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Retention.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Retention.java
@@ -4,24 +4,24 @@
 import java.util.Objects;
 
 /**
- * How long things are kept.
+ * The retention of job results and of the revision history.
  *
- * @param results how long results of an ended job stay readable
- * @param changes how many accepted texts the history holds
+ * @param results how long the results of an ended job stay readable
+ * @param changes the number of revisions kept in the history
  */
 public record Retention(Duration results, int changes) {
 
 	private static final Retention STANDARD = new Retention(Duration.ofDays(30), 1000);
 
 	/**
-	 * Checks that the time is there.
+	 * Checks that {@code results} is not null.
 	 */
 	public Retention {
 		Objects.requireNonNull(results, "results is null");
 	}
 
 	/**
-	 * Returns what holds if the text says nothing.
+	 * Returns the default retention.
 	 * @return 30 days and 1,000 changes
 	 */
 	public static Retention standard() {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Revision.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Revision.java
@@ -4,18 +4,18 @@
 import java.util.Objects;
 
 /**
- * A text as it was accepted.
+ * An accepted version of the contract with its text.
  *
- * @param version a number that grows by one with each accepted change
- * @param author the operator who submitted it
- * @param reason why, in the operator's words
- * @param acceptedAt when, by the clock of the entry that accepted it
- * @param text the JSON with comments
+ * @param version the version, which increases with each accepted change
+ * @param author the name of the operator that submitted it
+ * @param reason the reason given by the operator
+ * @param acceptedAt the time of acceptance, by the clock of the accepting entry
+ * @param text the contract as JSON with comments
  */
 public record Revision(long version, String author, String reason, Instant acceptedAt, String text) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Checks that no component is null.
 	 */
 	public Revision {
 		Objects.requireNonNull(author, "author is null");
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * Names this revision in a message.
-	 * @return version, author, time and reason
+	 * Returns a one-line description for messages.
+	 * @return the version, author, time and reason
 	 */
 	public String title() {
 		return "version " + this.version + " by " + this.author + " at " + this.acceptedAt + " (" + this.reason + ")";
--- a/modules/core/src/main/java/org/ragworthook/core/contract/RevisionCodec.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/RevisionCodec.java
@@ -18,15 +18,15 @@
 import org.ragworthook.core.store.Draft;
 
 /**
- * Turns snapshots and heads of revisions into values for the platform and back. The
- * platform takes up to 1 MB a value; a text of 6,000 accounts comes near it, so a long
- * text is kept compressed. What is too long even so is refused before anything is
- * written.
+ * Encodes and decodes the snapshots and headers of revisions as values of the object
+ * store. The store accepts values of up to 1 MB, and a contract with 6,000 accounts comes
+ * close to that, so long texts are compressed. A text that is too large even when
+ * compressed is rejected before anything is written.
  */
 final class RevisionCodec {
 
-	/** Texts of more characters than this are compressed. */
-	static final int COMPRESS_OVER = 64 * 1024;
+	/** Texts with more characters than this are stored compressed. */
+	static final int MAX_UNCOMPRESSED_CHARS = 64 * 1024;
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -38,14 +38,14 @@
 	// -- snapshots
 
 	/**
-	 * Writes a text as a value.
-	 * @param text the text
+	 * Encodes a text as a snapshot.
+	 * @param text the text of a revision
 	 * @return the JSON value
-	 * @throws ConfigException if the value is over 1 MB
+	 * @throws ConfigException with {@code CONFIG_TOO_LARGE} if the value exceeds 1 MB
 	 */
 	static String snapshot(String text) {
 		ObjectNode node = JSON.createObjectNode();
-		if (text.length() > COMPRESS_OVER) {
+		if (text.length() > MAX_UNCOMPRESSED_CHARS) {
 			node.put("encoding", GZIP).put("text", compress(text));
 		}
 		else {
@@ -61,16 +61,17 @@
 	}
 
 	/**
-	 * Reads a text from a value.
-	 * @param value what {@link #snapshot} gave
+	 * Decodes the text of a snapshot.
+	 * @param value a value returned by {@link #snapshot}
 	 * @return the text
-	 * @throws ConfigException if the value is no snapshot
+	 * @throws ConfigException with {@code CONFIG_MALFORMED} if the value is not a
+	 * snapshot
 	 */
 	static String text(String value) {
 		try {
 			JsonNode node = JSON.readTree(value);
 			String text = node.path("text").asText();
-			return GZIP.equals(node.path("encoding").asText()) ? expand(text) : text;
+			return GZIP.equals(node.path("encoding").asText()) ? decompress(text) : text;
 		}
 		catch (IOException | IllegalArgumentException ex) {
 			throw new ConfigException(ErrorCode.CONFIG_MALFORMED, "the stored object is not a snapshot", ex);
@@ -83,45 +84,45 @@
 			gzip.write(text.getBytes(StandardCharsets.UTF_8));
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a text in memory cannot fail to be written", ex);
+			throw new IllegalStateException("I/O error while compressing a string in memory", ex);
 		}
 		return Base64.getEncoder().encodeToString(out.toByteArray());
 	}
 
-	private static String expand(String text) throws IOException {
+	private static String decompress(String text) throws IOException {
 		try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
 			return new String(gzip.readAllBytes(), StandardCharsets.UTF_8);
 		}
 	}
 
-	// -- heads
+	// -- headers
 
 	/**
-	 * Writes a head as a value.
-	 * @param head the head
+	 * Encodes a header.
+	 * @param header the header
 	 * @return the JSON value
 	 */
-	static String head(RevisionHead head) {
+	static String header(RevisionHeader header) {
 		ObjectNode node = JSON.createObjectNode()
-			.put("version", head.version())
-			.put("author", head.author())
-			.put("reason", head.reason())
-			.put("acceptedMillis", head.acceptedAt().toEpochMilli())
-			.put("digest", head.digest())
-			.put("snapshotVersion", head.snapshotVersion())
-			.put("snapshot", head.snapshot());
-		head.delta()
+			.put("version", header.version())
+			.put("author", header.author())
+			.put("reason", header.reason())
+			.put("acceptedMillis", header.acceptedAt().toEpochMilli())
+			.put("digest", header.digest())
+			.put("snapshotVersion", header.snapshotVersion())
+			.put("snapshot", header.snapshot());
+		header.delta()
 			.ifPresent((delta) -> node.putObject("delta")
-				.put("at", delta.at())
-				.put("removed", delta.removed())
+				.put("at", delta.offset())
+				.put("removed", delta.removedChars())
 				.put("inserted", delta.inserted()));
-		head.replaced().ifPresent((name) -> node.put("replaced", name));
+		header.replacedSnapshot().ifPresent((name) -> node.put("replaced", name));
 		return node.toString();
 	}
 
-	private static RevisionHead head(JsonNode value) {
+	private static RevisionHeader header(JsonNode value) {
 		JsonNode delta = value.path("delta");
-		return new RevisionHead(value.path("version").asLong(), value.path("author").asText(),
+		return new RevisionHeader(value.path("version").asLong(), value.path("author").asText(),
 				value.path("reason").asText(), Instant.ofEpochMilli(value.path("acceptedMillis").asLong()),
 				value.path("digest").asText(), value.path("snapshotVersion").asLong(), value.path("snapshot").asText(),
 				delta.isObject() ? Optional.of(new TextDelta(delta.path("at").asInt(), delta.path("removed").asInt(),
@@ -130,18 +131,18 @@
 	}
 
 	/**
-	 * Reads a head from a value.
-	 * @param value what {@link #head(RevisionHead)} gave
-	 * @return the head
-	 * @throws ConfigException if the value is no head
+	 * Decodes a header.
+	 * @param value a value returned by {@link #header(RevisionHeader)}
+	 * @return the header
+	 * @throws ConfigException with {@code CONFIG_MALFORMED} if the value is not a header
 	 */
-	static RevisionHead parseHead(String value) {
+	static RevisionHeader parseHeader(String value) {
 		try {
 			JsonNode node = JSON.readTree(value);
 			if (node == null || !node.path("version").isIntegralNumber()) {
 				throw new ConfigException(ErrorCode.CONFIG_MALFORMED, "the stored object is not a revision");
 			}
-			return head(node);
+			return header(node);
 		}
 		catch (IOException | IllegalArgumentException ex) {
 			throw new ConfigException(ErrorCode.CONFIG_MALFORMED, "the stored object is not a revision", ex);
--- a/modules/core/src/main/java/org/ragworthook/core/contract/Service.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/Service.java
@@ -10,7 +10,7 @@
 import org.ragworthook.core.error.ErrorCode;
 
 /**
- * A service that the system keeps answering.
+ * A service as defined in the contract, with its models, dependencies and deadlines.
  */
 public final class Service {
 
@@ -30,7 +30,7 @@
 
 	private final Duration batchDeadline;
 
-	private final List<CallRule> nonIdempotentCalls;
+	private final List<CallPattern> nonIdempotentCalls;
 
 	private final boolean checksFencing;
 
@@ -48,40 +48,41 @@
 	}
 
 	/**
-	 * Starts a service.
-	 * @param name its name, unique in the text
-	 * @param type what answers its requests
-	 * @return a builder with nothing else set
+	 * Returns a builder of a service.
+	 * @param name the name, unique among the services of the contract
+	 * @param type the kind of upstreams that serve its requests
+	 * @return a builder with default values for everything else
 	 */
 	public static Builder builder(String name, ServiceType type) {
 		return new Builder(name, type);
 	}
 
 	/**
-	 * Reads a service's own section of a text.
-	 * @param section the JSON of the section
+	 * Parses the section of one service.
+	 * @param section the section as JSON
 	 * @return the service
-	 * @throws ConfigException if the section breaks a rule of the schema
+	 * @throws ConfigException with {@code CONFIG_INVALID} if the section violates the
+	 * schema
 	 */
 	public static Service parse(String section) {
-		Problems problems = new Problems();
+		ProblemCollector problems = new ProblemCollector();
 		Optional<Service> read = NodeReader.read(section, problems)
 			.map((node) -> ContractReader.service(node, problems));
-		return read.filter((service) -> problems.inOrder().isEmpty())
+		return read.filter((service) -> problems.sorted().isEmpty())
 			.orElseThrow(() -> new ConfigException(ErrorCode.CONFIG_INVALID,
-					problems.inOrder().stream().map(Problem::toString).collect(Collectors.joining("\n"))));
+					problems.sorted().stream().map(Problem::toString).collect(Collectors.joining("\n"))));
 	}
 
 	/**
-	 * Returns the name.
-	 * @return a name unique in the text
+	 * Returns the name of the service.
+	 * @return the name, unique among the services of the contract
 	 */
 	public String name() {
 		return this.name;
 	}
 
 	/**
-	 * Returns what answers its requests.
+	 * Returns the kind of upstreams that serve its requests.
 	 * @return the type
 	 */
 	public ServiceType type() {
@@ -89,17 +90,17 @@
 	}
 
 	/**
-	 * Returns the models that its upstreams are to hold.
-	 * @return the models; none for a plain service
+	 * Returns the models that its upstreams serve.
+	 * @return the models; empty for a plain service
 	 */
 	public List<Model> models() {
 		return this.models;
 	}
 
 	/**
-	 * Returns one of its models.
-	 * @param wanted the name of a model or of one of its adapters
-	 * @return the model, or empty if this service has none of that name
+	 * Returns the model with a given name or adapter.
+	 * @param wanted the name of a model or of an adapter
+	 * @return the model, or empty if this service has no such model or adapter
 	 */
 	public Optional<Model> model(String wanted) {
 		return this.models.stream()
@@ -108,39 +109,39 @@
 	}
 
 	/**
-	 * Returns the services that it cannot answer without.
-	 * @return their names
+	 * Returns the services that it depends on.
+	 * @return the names of the services
 	 */
 	public List<String> dependsOn() {
 		return this.dependsOn;
 	}
 
 	/**
-	 * Returns where its upstreams stand.
-	 * @return the names of failure domains
+	 * Returns the failure domains that its upstreams run in.
+	 * @return the the names of the failure domains
 	 */
 	public List<String> failureDomains() {
 		return this.failureDomains;
 	}
 
 	/**
-	 * Returns how many upstreams it has.
-	 * @return the number that the operators count on
+	 * Returns the planned number of upstreams.
+	 * @return the number of upstreams that the contract specifies
 	 */
 	public int upstreams() {
 		return this.upstreams;
 	}
 
 	/**
-	 * Returns the time that an online request has if it names none.
-	 * @return the time from arrival to the whole answer
+	 * Returns the default deadline of online requests.
+	 * @return the time from arrival to the complete response
 	 */
 	public Duration onlineDeadline() {
 		return this.onlineDeadline;
 	}
 
 	/**
-	 * Returns the time that a batch job has if it names none.
+	 * Returns the default deadline of batch jobs.
 	 * @return the time from acceptance to the last result
 	 */
 	public Duration batchDeadline() {
@@ -148,26 +149,27 @@
 	}
 
 	/**
-	 * Returns the calls that must not be repeated.
-	 * @return rules, any of which may cover a call
+	 * Returns the calls that are not idempotent and must not be retried.
+	 * @return the patterns; a call is non-idempotent if any of them matches
 	 */
-	public List<CallRule> nonIdempotentCalls() {
+	public List<CallPattern> nonIdempotentCalls() {
 		return this.nonIdempotentCalls;
 	}
 
 	/**
-	 * Tells whether a call may be repeated.
+	 * Returns whether a call is idempotent and may be retried.
 	 * @param method the HTTP method
 	 * @param path the path, without the query
-	 * @return whether running it twice has the effect of running it once
+	 * @return whether no non-idempotent pattern matches the call
 	 */
 	public boolean idempotent(String method, String path) {
-		return this.nonIdempotentCalls.stream().noneMatch((rule) -> rule.covers(method, path));
+		return this.nonIdempotentCalls.stream().noneMatch((pattern) -> pattern.matches(method, path));
 	}
 
 	/**
-	 * Tells whether its upstreams refuse orders with an old fencing number by themselves.
-	 * @return whether they check
+	 * Returns whether its upstreams check fencing tokens, that is, reject orders with an
+	 * outdated token.
+	 * @return whether they check fencing tokens
 	 */
 	public boolean checksFencing() {
 		return this.checksFencing;
@@ -179,7 +181,7 @@
 	}
 
 	/**
-	 * Collects the parts of a service.
+	 * Builder of a service.
 	 */
 	public static final class Builder {
 
@@ -199,7 +201,7 @@
 
 		private Duration batchDeadline = Duration.ofHours(24);
 
-		private List<CallRule> nonIdempotentCalls = List.of();
+		private List<CallPattern> nonIdempotentCalls = List.of();
 
 		private boolean checksFencing;
 
@@ -210,7 +212,7 @@
 
 		/**
 		 * Sets the models.
-		 * @param value the models that upstreams are to hold
+		 * @param value the models that the upstreams serve
 		 * @return this builder
 		 */
 		public Builder models(List<Model> value) {
@@ -219,8 +221,8 @@
 		}
 
 		/**
-		 * Sets the dependencies.
-		 * @param value names of services
+		 * Sets the services that this service depends on.
+		 * @param value the names of the services
 		 * @return this builder
 		 */
 		public Builder dependsOn(List<String> value) {
@@ -229,8 +231,8 @@
 		}
 
 		/**
-		 * Sets where the upstreams stand.
-		 * @param value names of failure domains
+		 * Sets the failure domains that the upstreams run in.
+		 * @param value the names of the failure domains
 		 * @return this builder
 		 */
 		public Builder failureDomains(List<String> value) {
@@ -240,7 +242,7 @@
 
 		/**
 		 * Sets the number of upstreams.
-		 * @param value how many there are
+		 * @param value the planned number of upstreams
 		 * @return this builder
 		 */
 		public Builder upstreams(int value) {
@@ -249,9 +251,10 @@
 		}
 
 		/**
-		 * Sets the deadlines.
-		 * @param online time of an online request
-		 * @param batch time of a batch job
+		 * Sets the default deadlines.
+		 * @param online the time from arrival to the complete response of an online
+		 * request
+		 * @param batch the time from acceptance to the last result of a batch job
 		 * @return this builder
 		 */
 		public Builder deadlines(Duration online, Duration batch) {
@@ -261,18 +264,18 @@
 		}
 
 		/**
-		 * Sets the calls that must not be repeated.
-		 * @param value rules, any of which may cover a call
+		 * Sets the calls that must not be retried.
+		 * @param value the patterns; a call is non-idempotent if any of them matches
 		 * @return this builder
 		 */
-		public Builder nonIdempotentCalls(List<CallRule> value) {
+		public Builder nonIdempotentCalls(List<CallPattern> value) {
 			this.nonIdempotentCalls = Objects.requireNonNull(value, "value is null");
 			return this;
 		}
 
 		/**
-		 * Sets whether the upstreams check fencing numbers.
-		 * @param value whether they check
+		 * Sets whether the upstreams check fencing tokens.
+		 * @param value whether they reject orders with an outdated token
 		 * @return this builder
 		 */
 		public Builder checksFencing(boolean value) {
@@ -281,7 +284,7 @@
 		}
 
 		/**
-		 * Returns the service.
+		 * Builds the service.
 		 * @return a new service
 		 */
 		public Service build() {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ServiceType.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ServiceType.java
@@ -3,18 +3,18 @@
 import java.util.Locale;
 
 /**
- * What answers the requests of a service.
+ * The kind of upstreams that serve the requests of a service.
  */
 public enum ServiceType {
 
-	/** Model engines, called by model name. */
+	/** Model engines; requests are routed by model name. */
 	MODEL,
 
-	/** An ordinary HTTP service, called by path. */
+	/** A plain HTTP service; requests are routed by path. */
 	PLAIN;
 
 	/**
-	 * Returns the name that the text uses.
+	 * Returns the name used in contracts.
 	 * @return the name in lower case
 	 */
 	public String label() {
--- a/modules/core/src/main/java/org/ragworthook/core/contract/SliceEncoder.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/SliceEncoder.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Works out what one link to a sidecar still has to be told. Most changes concern other
- * services; the sidecar is then told the version only, a few bytes.
+ * Computes the slices to send over one link to a sidecar. Most changes concern other
+ * services; the slice then contains only the version, a few bytes.
  */
 public final class SliceEncoder {
 
@@ -20,30 +20,31 @@
 	}
 
 	/**
-	 * Returns the sender of a new link.
-	 * @param service the service of the sidecar's upstream
-	 * @return a sender that has sent nothing
+	 * Returns an encoder for a new link.
+	 * @param service the name of the service that the sidecar's upstream belongs to
+	 * @return an encoder that has not produced any slice
 	 */
 	public static SliceEncoder of(String service) {
 		return new SliceEncoder(service);
 	}
 
 	/**
-	 * Tells what to send now that a contract is in force. Two threads that bring two
-	 * contracts at once may come in either order; the older is not sent after the newer.
-	 * @param contract the contract
-	 * @return the slice, or empty if this link was told of this version or a newer one
+	 * Returns the slice to send for an activated contract. Concurrent calls may arrive in
+	 * either order; an older version is not sent after a newer one.
+	 * @param contract the activated contract
+	 * @return the slice, or empty if this or a newer version was already sent on this
+	 * link
 	 */
 	public synchronized Optional<Slice> next(Contract contract) {
 		if (contract.version() <= this.sentVersion) {
 			return Optional.empty();
 		}
 		String section = contract.section(this.service).orElse("");
-		boolean known = this.sentVersion > 0 && section.equals(this.sentSection);
+		boolean unchanged = this.sentVersion > 0 && section.equals(this.sentSection);
 		this.sentVersion = contract.version();
 		this.sentSection = section;
 		return Optional
-			.of(new Slice(contract.version(), this.service, known ? Optional.empty() : Optional.of(section)));
+			.of(new Slice(contract.version(), this.service, unchanged ? Optional.empty() : Optional.of(section)));
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/contract/TextDelta.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/TextDelta.java
@@ -3,30 +3,31 @@
 import java.util.Objects;
 
 /**
- * What turns one text into another: at one place some characters are removed and others
- * inserted. An operator's edit is small and the text may be near 1 MB, so this is what
- * travels to each entry.
+ * The difference between two texts, as one replaced range of characters. An edit is
+ * usually small while the text may be nearly 1 MB, so entries receive the delta instead
+ * of the text.
  *
- * @param at how many characters stay in front
- * @param removed how many characters go from there
- * @param inserted what comes in their place
+ * @param offset the index of the first replaced character
+ * @param removedChars the number of characters removed at the offset
+ * @param inserted the text inserted at the offset
  */
-record TextDelta(int at, int removed, String inserted) {
+record TextDelta(int offset, int removedChars, String inserted) {
 
 	/**
-	 * Checks the numbers.
-	 * @throws IllegalArgumentException if a number is negative
+	 * Checks the offset and the length.
+	 * @throws IllegalArgumentException if the offset or the length is negative
 	 */
 	TextDelta {
 		Objects.requireNonNull(inserted, "inserted is null");
-		if (at < 0 || removed < 0) {
-			throw new IllegalArgumentException("at " + at + " or removed " + removed + " is negative");
+		if (offset < 0 || removedChars < 0) {
+			throw new IllegalArgumentException(
+					"offset " + offset + " or removedChars " + removedChars + " is negative");
 		}
 	}
 
 	/**
-	 * Finds the delta between two texts: the least that lies between their common
-	 * beginning and their common end.
+	 * Returns the delta between two texts: the range between their longest common prefix
+	 * and suffix.
 	 * @param before the earlier text
 	 * @param after the later text
 	 * @return the delta
@@ -46,17 +47,17 @@
 	}
 
 	/**
-	 * Applies the delta.
+	 * Applies this delta to a text.
 	 * @param before the earlier text
 	 * @return the later text
-	 * @throws IllegalArgumentException if the delta reaches beyond the text
+	 * @throws IllegalArgumentException if the delta extends beyond the end of the text
 	 */
 	String apply(String before) {
-		if (this.at + this.removed > before.length()) {
-			throw new IllegalArgumentException("delta reaches to " + (this.at + this.removed) + " in a text of "
-					+ before.length() + " characters");
+		if (this.offset + this.removedChars > before.length()) {
+			throw new IllegalArgumentException("delta extends to " + (this.offset + this.removedChars)
+					+ " in a text of " + before.length() + " characters");
 		}
-		return before.substring(0, this.at) + this.inserted + before.substring(this.at + this.removed);
+		return before.substring(0, this.offset) + this.inserted + before.substring(this.offset + this.removedChars);
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/contract/ValidationResult.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/ValidationResult.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * What came of reading a text.
+ * The result of validating a contract.
  *
- * @param contract the contract, if the text may be accepted
- * @param problems everything found, by place
+ * @param contract the contract, or empty if there is an error
+ * @param problems all errors and warnings, ordered by position
  */
 public record ValidationResult(Optional<Contract> contract, List<Problem> problems) {
 
 	/**
-	 * Copies the problems.
+	 * Checks that no component is null and copies the problems.
 	 */
 	public ValidationResult {
 		Objects.requireNonNull(contract, "contract is null");
@@ -21,24 +21,24 @@
 	}
 
 	/**
-	 * Tells whether the text may be accepted.
-	 * @return whether there is no error; there may be warnings
+	 * Returns whether the contract may be accepted.
+	 * @return whether there are no errors; there may be warnings
 	 */
 	public boolean isAcceptable() {
 		return this.contract.isPresent();
 	}
 
 	/**
-	 * Returns what keeps the text from being accepted.
-	 * @return the errors by place
+	 * Returns the errors, because of which the contract is rejected.
+	 * @return the errors, ordered by position
 	 */
 	public List<Problem> errors() {
 		return this.problems.stream().filter(Problem::isError).toList();
 	}
 
 	/**
-	 * Returns what the operator should know though the text may be accepted.
-	 * @return the warnings by place
+	 * Returns the warnings, which do not prevent acceptance.
+	 * @return the warnings, ordered by position
 	 */
 	public List<Problem> warnings() {
 		return this.problems.stream().filter((problem) -> !problem.isError()).toList();
--- a/modules/core/src/main/java/org/ragworthook/core/contract/WeightStore.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/WeightStore.java
@@ -1,18 +1,18 @@
 package org.ragworthook.core.contract;
 
 /**
- * What the store of model weights bears.
+ * The load limits of the store that upstreams load model weights from.
  *
- * @param loadsPerMinute loads that may begin in a minute
- * @param concurrentLoads loads that may go on at once
+ * @param loadsPerMinute the maximum number of loads started per minute
+ * @param concurrentLoads the maximum number of concurrent loads
  */
 public record WeightStore(int loadsPerMinute, int concurrentLoads) {
 
 	private static final WeightStore STANDARD = new WeightStore(60, 4);
 
 	/**
-	 * Returns what holds if the text says nothing.
-	 * @return 60 loads a minute, 4 at once
+	 * Returns the default limits.
+	 * @return 60 loads per minute, 4 concurrent loads
 	 */
 	public static WeightStore standard() {
 		return STANDARD;
--- a/modules/core/src/main/java/org/ragworthook/core/contract/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/contract/package-info.java
@@ -1,7 +1,11 @@
 /**
- * The operators' text: what services there are, what each depends on, and who may call
- * them. A text is read and checked whole, with every mistake named by line and column; a
- * checked text becomes an immutable {@link org.ragworthook.core.contract.Contract}, which
- * every process acts by.
+ * The contract: the declarative configuration of a deployment, written by the operators
+ * as JSON with comments. It defines the services, their models and dependencies, the
+ * accounts that may call them, and the operators that may change it.
+ * {@link org.ragworthook.core.contract.Contract} is the parsed and validated form;
+ * validation reports all errors with line and column.
+ * {@link org.ragworthook.core.contract.ContractRepository} stores accepted revisions, and
+ * {@link org.ragworthook.core.contract.ContractWatch} follows them and updates the
+ * {@link org.ragworthook.core.contract.ActiveContract} of a process.
  */
 package org.ragworthook.core.contract;
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ContractDiffTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ContractDiffTests.java
@@ -29,14 +29,15 @@
 
 	@ParameterizedTest
 	@MethodSource("edits")
-	void shouldSayInWordsWhatAnEditDoes(String before, String after, ContractChange.Effect effect, String words) {
-		Contract old = Contract.parse(1, Texts.desk());
-		Contract fresh = Contract.parse(2, Texts.desk().replace(before, after));
+	void shouldDescribeTheEffectOfAnEdit(String before, String after, ContractChange.Effect effect,
+			String description) {
+		Contract old = Contract.parse(1, ContractTexts.standard());
+		Contract fresh = Contract.parse(2, ContractTexts.standard().replace(before, after));
 		assertThat(ContractDiff.between(Optional.of(old), fresh)
 			.stream()
 			.filter((change) -> change.effect() == effect)
 			.map(ContractChange::description)
-			.reduce("", (left, right) -> left + right + "\n")).contains(words);
+			.reduce("", (left, right) -> left + right + "\n")).contains(description);
 		assertThat(ContractDiff.between(Optional.of(old), old)).isEmpty();
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ContractFuzzTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ContractFuzzTests.java
@@ -16,36 +16,36 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * An operator pastes half a file, a tool writes binary, a hand slips. Any error but a
- * ConfigException would end the request, or the process that follows the contract,
- * without telling which place to mend.
+ * Truncated, binary or mistyped texts must be rejected with a ConfigException. Any other
+ * exception would fail the request, or the process that follows the contract, without the
+ * position of the error.
  */
 class ContractFuzzTests {
 
 	private static final String SEED = "20261202";
 
 	@Property(seed = SEED, tries = 1000)
-	void shouldRefuseAnyTextWithATypedError(@ForAll String text) {
-		assertThat(parsesOrRefuses(text)).isFalse();
+	void shouldRejectRandomTextsWithConfigException(@ForAll String text) {
+		assertThat(parsesOrRejects(text)).isFalse();
 	}
 
 	@Property(seed = SEED, tries = 3000)
-	void shouldRefuseDamagedTextsWithATypedError(
+	void shouldRejectCorruptedContractsWithConfigException(
 			@ForAll @Size(min = 1, max = 4) List<@IntRange(max = 2000) Integer> cuts,
 			@ForAll("fragments") String fragment) {
-		StringBuilder text = new StringBuilder(Texts.desk());
+		StringBuilder text = new StringBuilder(ContractTexts.standard());
 		for (int cut : cuts) {
 			int at = cut % text.length();
 			text.replace(at, Math.min(text.length(), at + cut % 7), fragment);
 		}
-		parsesOrRefuses(text.toString());
+		parsesOrRejects(text.toString());
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 100, 10_000, 1_000_000 })
-	void shouldRefuseDeepTextsWithoutExhaustingTheStack(int depth) {
-		assertThat(parsesOrRefuses("[".repeat(depth))).isFalse();
-		assertThat(parsesOrRefuses("{\"services\":".repeat(depth))).isFalse();
+	void shouldRejectDeeplyNestedTextsWithoutStackOverflow(int depth) {
+		assertThat(parsesOrRejects("[".repeat(depth))).isFalse();
+		assertThat(parsesOrRejects("{\"services\":".repeat(depth))).isFalse();
 	}
 
 	@Provide
@@ -54,7 +54,7 @@
 				"true", "/*", "//", "\\u0000", "\"name\"", "\ud800", "[{}]", "\"sha256:zz\"", "0.5");
 	}
 
-	private static boolean parsesOrRefuses(String text) {
+	private static boolean parsesOrRejects(String text) {
 		try {
 			Contract.parse(1, text);
 			return true;
--- a/modules/core/src/test/java/org/ragworthook/core/contract/Texts.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ContractTexts.java
@@ -6,14 +6,14 @@
 import org.ragworthook.core.error.RagworthookException;
 
 /**
- * Texts for tests.
+ * Contract texts and helpers for tests.
  */
-final class Texts {
+final class ContractTexts {
 
-	private Texts() {
+	private ContractTexts() {
 	}
 
-	static String desk(String extra) {
+	static String standard(String extra) {
 		return """
 				{
 					"name": "test",
@@ -29,16 +29,16 @@
 				""".formatted(KeyHash.of("office-key").text(), extra.isEmpty() ? "" : ", " + extra);
 	}
 
-	static String desk() {
-		return desk("");
+	static String standard() {
+		return standard("");
 	}
 
-	static String weight(int weight) {
-		return desk().replace("\"weight\": 2", "\"weight\": " + weight);
+	static String withWeight(int weight) {
+		return standard().replace("\"weight\": 2", "\"weight\": " + weight);
 	}
 
-	static String deskVersion(String version) {
-		return desk().replace("\"v1\"", "\"" + version + "\"");
+	static String withModelVersion(String version) {
+		return standard().replace("\"v1\"", "\"" + version + "\"");
 	}
 
 	static Revision revision(long version, String text) {
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ContractValidationTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ContractValidationTests.java
@@ -11,7 +11,7 @@
 
 class ContractValidationTests {
 
-	static Stream<Arguments> mistakes() {
+	static Stream<Arguments> invalidEdits() {
 		return Stream.of(
 				Arguments.of("\"upstreams\": 4", "\"upstream\": 4", "\"upstream\"", "key 'upstream' is not known"),
 				Arguments.of("\"upstreams\": 4", "\"upstreams\": \"4\"", "\"4\"", "upstreams is a string"),
@@ -33,44 +33,44 @@
 	}
 
 	@ParameterizedTest
-	@MethodSource("mistakes")
-	void shouldNamePlaceAndRemedyOfAMistake(String right, String wrong, String at, String message) {
-		assertThat(Texts.desk()).contains(right);
-		String text = Texts.desk().replace(right, wrong);
-		ValidationResult review = Contract.validate(1, text);
-		assertThat(review.isAcceptable()).isFalse();
-		Problem found = review.errors()
+	@MethodSource("invalidEdits")
+	void shouldReportPositionAndRemedyOfAnError(String right, String wrong, String at, String message) {
+		assertThat(ContractTexts.standard()).contains(right);
+		String text = ContractTexts.standard().replace(right, wrong);
+		ValidationResult result = Contract.validate(1, text);
+		assertThat(result.isAcceptable()).isFalse();
+		Problem found = result.errors()
 			.stream()
 			.filter((problem) -> problem.message().contains(message))
 			.findFirst()
-			.orElseThrow(() -> new AssertionError(review.errors().toString()));
+			.orElseThrow(() -> new AssertionError(result.errors().toString()));
 		assertThat(found.remedy()).isNotEmpty();
 		String line = text.split("\n")[found.line() - 1];
 		assertThat(line.substring(found.column() - 1)).startsWith(at);
 	}
 
 	@Test
-	void shouldReportAllMistakesAtOnceInOrderOfPlace() {
-		String text = Texts.desk("\"colour\": 1")
+	void shouldReportAllErrorsOrderedByPosition() {
+		String text = ContractTexts.standard("\"colour\": 1")
 			.replace("\"upstreams\": 4", "\"upstreams\": true")
 			.replace("\"weight\": 2", "\"weight\": 2.5");
-		ValidationResult review = Contract.validate(1, text);
-		assertThat(review.errors().stream().map(Problem::line).toList()).containsExactly(5, 7, 10, 10).inOrder();
+		ValidationResult result = Contract.validate(1, text);
+		assertThat(result.errors().stream().map(Problem::line).toList()).containsExactly(5, 7, 10, 10).inOrder();
 	}
 
 	@Test
-	void shouldNameEveryServiceOfACycle() {
-		String text = Texts.desk()
+	void shouldNameEveryServiceOfADependencyCycle() {
+		String text = ContractTexts.standard()
 			.replace("\"upstreams\": 4", "\"upstreams\": 4, \"dependsOn\": [\"bookings\"]")
 			.replace("\"upstreams\": 1", "\"upstreams\": 1, \"dependsOn\": [\"desk\"]");
 		assertThat(Contract.validate(1, text).errors().get(0).message()).contains("desk -> bookings -> desk");
 	}
 
 	@Test
-	void shouldWarnOfAnAccountWithoutKeys() {
-		ValidationResult review = Contract.validate(1, Texts.desk("\"operators\": [{\"name\": \"ana\"}]"));
-		assertThat(review.isAcceptable()).isTrue();
-		assertThat(review.warnings()).hasSize(1);
+	void shouldWarnAboutAnOperatorWithoutKeys() {
+		ValidationResult result = Contract.validate(1, ContractTexts.standard("\"operators\": [{\"name\": \"ana\"}]"));
+		assertThat(result.isAcceptable()).isTrue();
+		assertThat(result.warnings()).hasSize(1);
 	}
 
 }
--- a/modules/core/src/test/java/org/ragworthook/core/contract/ExamplesTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/ExamplesTests.java
@@ -14,11 +14,11 @@
 	@ParameterizedTest
 	@CsvSource({ "peachtree, measuring-desk, cut-sheets, peachtree-tablet-key, installers, appointments, /appointments",
 			"fiestas, entertainer-assistant, programmes, fiestas-agents-key, agents, bookings, /bookings/17" })
-	void shouldReadTheDeploymentsTexts(String file, String service, String adapter, String key, String account,
+	void shouldParseTheExampleContracts(String file, String service, String adapter, String key, String account,
 			String plain, String path) throws IOException {
 		String text = Files.readString(Path.of("../../examples", file + ".json"));
-		ValidationResult review = Contract.validate(7, text);
-		assertThat(review.problems()).isEmpty();
+		ValidationResult result = Contract.validate(7, text);
+		assertThat(result.problems()).isEmpty();
 		Contract contract = Contract.parse(7, text);
 		assertThat(contract.version()).isEqualTo(7);
 		assertThat(contract.serviceOfModel(adapter).map(Service::name)).hasValue(service);
--- a/modules/core/src/test/java/org/ragworthook/core/contract/FaultyStore.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/FaultyStore.java
@@ -17,7 +17,7 @@
 import org.ragworthook.core.store.WatchEvent;
 
 /**
- * A store whose calls fail when told to.
+ * An object store that injects faults into the calls of a delegate.
  */
 final class FaultyStore implements ObjectStore {
 
@@ -36,7 +36,7 @@
 		this.store = store;
 	}
 
-	static FaultyStore over(ObjectStore store) {
+	static FaultyStore wrap(ObjectStore store) {
 		return new FaultyStore(store);
 	}
 
@@ -48,13 +48,13 @@
 		this.beforeUpdate = action;
 	}
 
-	void failNextWrites(Fault kind, int count) {
-		this.fault = kind;
+	void failNextWrites(Fault fault, int count) {
+		this.fault = fault;
 		this.writesToFail = count;
 	}
 
-	void failCallsFrom(int call, Fault kind) {
-		this.fault = kind;
+	void failCallsFrom(int call, Fault fault) {
+		this.fault = fault;
 		this.callsUntilFault = call;
 	}
 
@@ -69,7 +69,7 @@
 		if (!fails) {
 			return action.get();
 		}
-		if (this.fault == Fault.ANSWER_LOST) {
+		if (this.fault == Fault.RESPONSE_LOST) {
 			action.get();
 			return failed(ErrorCode.STORE_OUTCOME_UNKNOWN);
 		}
@@ -116,7 +116,7 @@
 
 	enum Fault {
 
-		OUTAGE, ANSWER_LOST
+		OUTAGE, RESPONSE_LOST
 
 	}
 
--- a/modules/core/src/test/java/org/ragworthook/core/contract/SliceTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/contract/SliceTests.java
@@ -9,41 +9,41 @@
 class SliceTests {
 
 	@Test
-	void shouldSendTheVersionOnlyWhenTheServiceIsNotConcerned() {
+	void shouldSendOnlyTheVersionWhenTheServiceIsUnchanged() {
 		SliceEncoder sender = SliceEncoder.of("desk");
-		assertThat(sender.next(Contract.parse(1, Texts.desk())).flatMap(Slice::section)).isPresent();
-		assertThat(sender.next(Contract.parse(2, Texts.weight(3))).orElseThrow().section()).isEmpty();
-		assertThat(sender.next(Contract.parse(3, Texts.deskVersion("v2"))).flatMap(Slice::section)).isPresent();
-		assertThat(sender.next(Contract.parse(2, Texts.weight(3)))).isEmpty();
+		assertThat(sender.next(Contract.parse(1, ContractTexts.standard())).flatMap(Slice::section)).isPresent();
+		assertThat(sender.next(Contract.parse(2, ContractTexts.withWeight(3))).orElseThrow().section()).isEmpty();
+		assertThat(sender.next(Contract.parse(3, ContractTexts.withModelVersion("v2"))).flatMap(Slice::section))
+			.isPresent();
+		assertThat(sender.next(Contract.parse(2, ContractTexts.withWeight(3)))).isEmpty();
 	}
 
-	// A change is made and taken back. One entry tells of all three versions, a slower
-	// one
-	// of the first and the last, between which it saw no difference. Its "unchanged" must
-	// not be read as "as in the middle version", or the sidecar would run the model that
-	// was rolled back.
+	// A change is made and reverted. One entry sends all three versions, a slower one
+	// only the first and the last, whose sections are equal. Its "unchanged" must not be
+	// applied to the section of the middle version received from the other entry, or the
+	// sidecar would run the model that was rolled back.
 	@Test
-	void shouldReadUnchangedAgainstTheSameLink() {
-		SliceEncoder quick = SliceEncoder.of("desk");
+	void shouldApplyUnchangedSectionsPerLink() {
+		SliceEncoder fast = SliceEncoder.of("desk");
 		SliceEncoder slow = SliceEncoder.of("desk");
-		ActiveSlice inForce = ActiveSlice.empty();
-		ActiveSlice.Receiver fromQuick = inForce.receiver();
-		ActiveSlice.Receiver fromSlow = inForce.receiver();
-		Contract first = Contract.parse(1, Texts.desk());
-		Contract middle = Contract.parse(2, Texts.deskVersion("v2"));
-		Contract last = Contract.parse(3, Texts.desk());
-		assertThat(fromQuick.take(quick.next(first).orElseThrow())).isTrue();
+		ActiveSlice active = ActiveSlice.empty();
+		ActiveSlice.Receiver fromFast = active.receiver();
+		ActiveSlice.Receiver fromSlow = active.receiver();
+		Contract first = Contract.parse(1, ContractTexts.standard());
+		Contract middle = Contract.parse(2, ContractTexts.withModelVersion("v2"));
+		Contract last = Contract.parse(3, ContractTexts.standard());
+		assertThat(fromFast.take(fast.next(first).orElseThrow())).isTrue();
 		assertThat(fromSlow.take(slow.next(first).orElseThrow())).isFalse();
-		assertThat(fromQuick.take(quick.next(middle).orElseThrow())).isTrue();
-		assertThat(version(inForce)).hasValue("v2");
+		assertThat(fromFast.take(fast.next(middle).orElseThrow())).isTrue();
+		assertThat(version(active)).hasValue("v2");
 		assertThat(fromSlow.take(slow.next(last).orElseThrow())).isTrue();
-		assertThat(version(inForce)).hasValue("v1");
-		assertThat(fromQuick.take(quick.next(last).orElseThrow())).isFalse();
-		assertThat(inForce.version()).isEqualTo(3);
+		assertThat(version(active)).hasValue("v1");
+		assertThat(fromFast.take(fast.next(last).orElseThrow())).isFalse();
+		assertThat(active.version()).isEqualTo(3);
 	}
 
-	private static Optional<String> version(ActiveSlice inForce) {
-		return inForce.service().map((service) -> service.models().get(0).version());
+	private static Optional<String> version(ActiveSlice active) {
+		return active.service().map((service) -> service.models().get(0).version());
 	}
 
 }
