--- a/modules/core/src/main/java/org/ragworthook/core/store/ConditionalWriter.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/ConditionalWriter.java
@@ -10,26 +10,27 @@
 import org.ragworthook.core.error.StoreException;
 
 /**
- * Writes to the platform and settles lost answers.
+ * Performs conditional writes and resolves those whose response was lost.
  * <p>
- * The platform can take a write and lose the answer. Tried again blindly, a create would
- * then meet its own object and report a conflict, and an update would report that
- * somebody else came first. One would notice a job refused that was accepted, or a leader
- * that deposes itself. So after an unknown outcome the object is read back and its stamp
- * compared: with this write's stamp the write has succeeded, otherwise it is repeated
- * with the same stamp and the same expected version. The first try may still be on its
- * way; whichever of the two arrives first takes effect, the other meets a conflict, and
- * the stamp tells that both are the same write.
+ * The platform can apply a write and lose the response. A blind retry would then conflict
+ * with the write's own first attempt: a job that was accepted would be reported as
+ * rejected, or a leader that renewed its lease would step down. So after an unknown
+ * outcome the object is read back. If it carries this write's stamp, the write has
+ * succeeded; otherwise the write is retried with the same stamp and the same expected
+ * version. The first attempt may still be in transit: whichever attempt arrives first
+ * takes effect, the other one conflicts, and the equal stamp shows that both are the same
+ * write.
  * <p>
- * The outcome stays unknown, and the caller is told so, while the object cannot be read,
- * and also if a doubtful write meets a conflict with another writer's stamp: that writer
- * may have read this write's object and replaced it. Reported as a conflict, an operator
- * would be told that a text was not accepted which was in force for a while. The caller
- * then reads the object and decides from what it says.
+ * The write fails with {@code STORE_OUTCOME_UNKNOWN} if the object cannot be read back or
+ * the retries fail, and also if a retry conflicts with another writer's stamp, since that
+ * writer may have read this write's object and replaced it. If that were reported as a
+ * conflict, an operator would be told that a configuration was rejected although it had
+ * been active for a while. After an unknown outcome the caller has to read the object and
+ * decide by its content.
  */
 public final class ConditionalWriter {
 
-	private static final int ATTEMPTS = 3;
+	private static final int MAX_ATTEMPTS = 3;
 
 	private final RecordStore store;
 
@@ -42,8 +43,8 @@
 
 	/**
 	 * Returns a writer.
-	 * @param store where to write
-	 * @param stamps marks each write
+	 * @param store the store to write to
+	 * @param stamps generates the stamp of each write
 	 * @return the writer
 	 */
 	public static ConditionalWriter of(RecordStore store, Stamps stamps) {
@@ -51,95 +52,100 @@
 	}
 
 	/**
-	 * Creates an object, if there is none of that name.
-	 * @param key which object
-	 * @param text its value
-	 * @param labels its labels
-	 * @return the object; fails with {@code STORE_CONFLICT} if another write made it
-	 * first, and with {@code STORE_OUTCOME_UNKNOWN} if reading back does not settle it
+	 * Creates an object if none with the same key exists.
+	 * @param key the object's key
+	 * @param text the object's value
+	 * @param labels the object's labels
+	 * @return the created object; fails with {@code STORE_CONFLICT} if the object exists
+	 * already, and with {@code STORE_OUTCOME_UNKNOWN} if reading the object back does not
+	 * resolve the outcome
 	 */
 	public CompletableFuture<Stored> create(ObjectKey key, String text, Labels labels) {
 		Draft draft = new Draft(text, labels, this.stamps.next());
-		return attempt(() -> this.store.create(key, draft), key, draft, ATTEMPTS, false);
+		return attempt(() -> this.store.create(key, draft), key, draft, MAX_ATTEMPTS, false);
 	}
 
 	/**
-	 * Replaces an object, if it still has the version that was read.
-	 * @param seen the object as it was read
-	 * @param text its new value
-	 * @return the object; fails with {@code STORE_CONFLICT} if another write came first,
-	 * and with {@code STORE_OUTCOME_UNKNOWN} if reading back does not settle it
+	 * Replaces an object's value if the object still has the version that was read.
+	 * @param current the object as it was read
+	 * @param text the new value
+	 * @return the updated object; fails with {@code STORE_CONFLICT} if another write came
+	 * first, and with {@code STORE_OUTCOME_UNKNOWN} if reading the object back does not
+	 * resolve the outcome
 	 */
-	public CompletableFuture<Stored> update(Stored seen, String text) {
-		return update(seen, text, seen.draft().labels());
+	public CompletableFuture<Stored> update(Stored current, String text) {
+		return update(current, text, current.draft().labels());
 	}
 
 	/**
-	 * Replaces an object and its labels, if it still has the version that was read.
-	 * @param seen the object as it was read
-	 * @param text its new value
-	 * @param labels its new labels
-	 * @return the object; fails with {@code STORE_CONFLICT} if another write came first,
-	 * and with {@code STORE_OUTCOME_UNKNOWN} only if it cannot be read back
+	 * Replaces an object's value and labels if the object still has the version that was
+	 * read.
+	 * @param current the object as it was read
+	 * @param text the new value
+	 * @param labels the new labels
+	 * @return the updated object; fails with {@code STORE_CONFLICT} if another write came
+	 * first, and with {@code STORE_OUTCOME_UNKNOWN} if reading the object back does not
+	 * resolve the outcome
 	 */
-	public CompletableFuture<Stored> update(Stored seen, String text, Labels labels) {
+	public CompletableFuture<Stored> update(Stored current, String text, Labels labels) {
 		Draft draft = new Draft(text, labels, this.stamps.next());
-		return attempt(() -> this.store.update(seen.key(), draft, seen.version()), seen.key(), draft, ATTEMPTS, false);
+		return attempt(() -> this.store.update(current.key(), draft, current.version()), current.key(), draft,
+				MAX_ATTEMPTS, false);
 	}
 
 	private CompletableFuture<Stored> attempt(Supplier<CompletableFuture<Stored>> write, ObjectKey key, Draft draft,
-			int attempts, boolean doubtful) {
+			int attemptsLeft, boolean mayHaveTakenEffect) {
 		return write.get().handle((stored, failure) -> {
 			if (failure == null) {
 				return CompletableFuture.completedFuture(stored);
 			}
 			Optional<ErrorCode> code = codeOf(failure);
 			if (is(code, ErrorCode.STORE_OUTCOME_UNKNOWN)) {
-				return settle(write, key, draft, attempts, failure);
+				return resolve(write, key, draft, attemptsLeft, failure);
 			}
-			if (doubtful && is(code, ErrorCode.STORE_CONFLICT)) {
-				return readBack(key, draft).thenApply((found) -> found.orElseThrow(() -> unknown(key, failure)));
+			if (mayHaveTakenEffect && is(code, ErrorCode.STORE_CONFLICT)) {
+				return readBack(key, draft).thenApply((found) -> found.orElseThrow(() -> outcomeUnknown(key, failure)));
 			}
-			return doubtful ? CompletableFuture.<Stored>failedFuture(unknown(key, failure))
+			return mayHaveTakenEffect ? CompletableFuture.<Stored>failedFuture(outcomeUnknown(key, failure))
 					: CompletableFuture.<Stored>failedFuture(failure);
-		}).thenCompose((settled) -> settled);
+		}).thenCompose((result) -> result);
 	}
 
-	private CompletableFuture<Stored> settle(Supplier<CompletableFuture<Stored>> write, ObjectKey key, Draft draft,
-			int attempts, Throwable failure) {
+	private CompletableFuture<Stored> resolve(Supplier<CompletableFuture<Stored>> write, ObjectKey key, Draft draft,
+			int attemptsLeft, Throwable failure) {
 		return readBack(key, draft).thenCompose((found) -> {
 			if (found.isPresent()) {
 				return CompletableFuture.completedFuture(found.get());
 			}
-			if (attempts <= 1) {
-				return CompletableFuture.<Stored>failedFuture(unknown(key, failure));
+			if (attemptsLeft <= 1) {
+				return CompletableFuture.<Stored>failedFuture(outcomeUnknown(key, failure));
 			}
-			return attempt(write, key, draft, attempts - 1, true);
+			return attempt(write, key, draft, attemptsLeft - 1, true);
 		});
 	}
 
 	private CompletableFuture<Optional<Stored>> readBack(ObjectKey key, Draft draft) {
 		return this.store.read(key).handle((found, failure) -> {
 			if (failure != null) {
-				throw unknown(key, failure);
+				throw outcomeUnknown(key, failure);
 			}
 			return found.filter((stored) -> stored.draft().stamp().equals(draft.stamp()));
 		});
 	}
 
-	private static boolean is(Optional<ErrorCode> code, ErrorCode wanted) {
-		return code.filter((present) -> present == wanted).isPresent();
+	private static boolean is(Optional<ErrorCode> code, ErrorCode expected) {
+		return code.filter((actual) -> actual == expected).isPresent();
 	}
 
-	private static StoreException unknown(ObjectKey key, Throwable failure) {
+	private static StoreException outcomeUnknown(ObjectKey key, Throwable failure) {
 		return new StoreException(ErrorCode.STORE_OUTCOME_UNKNOWN,
 				"write to " + key + " was not confirmed and could not be settled by reading back", failure);
 	}
 
 	/**
-	 * Returns the code of a failed call.
-	 * @param failure what a future of the store failed with
-	 * @return the code, or empty if it is no error of the store
+	 * Returns the error code of a failed store call.
+	 * @param failure the exception that a future of the store failed with
+	 * @return the error code, or empty if the cause is not a {@link StoreException}
 	 */
 	public static Optional<ErrorCode> codeOf(Throwable failure) {
 		Throwable cause = Failures.root(failure);
--- a/modules/core/src/main/java/org/ragworthook/core/store/Draft.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/Draft.java
@@ -4,20 +4,20 @@
 import java.util.Objects;
 
 /**
- * What a write puts into an object.
+ * The content that a write puts into an object.
  *
- * @param text the value, UTF-8 text
- * @param labels the labels to list it by
- * @param stamp who wrote it, unique to this write; read back after a lost answer it tells
- * whether the write took effect
+ * @param text the value
+ * @param labels the labels by which the object can be listed
+ * @param stamp an identifier unique to this write; after a lost response, reading it back
+ * shows whether the write took effect
  */
 public record Draft(String text, Labels labels, String stamp) {
 
-	/** The largest value that the platform takes, in bytes of UTF-8. */
+	/** The platform's limit on the size of a value, in bytes of UTF-8. */
 	public static final int MAX_BYTES = 1 << 20;
 
 	/**
-	 * Checks that all parts are there.
+	 * Rejects null components.
 	 */
 	public Draft {
 		Objects.requireNonNull(text, "text is null");
@@ -28,7 +28,7 @@
 	/**
 	 * Returns a draft without labels.
 	 * @param text the value
-	 * @param stamp who writes it, unique to this write
+	 * @param stamp an identifier unique to this write
 	 * @return the draft
 	 */
 	public static Draft of(String text, String stamp) {
@@ -37,7 +37,7 @@
 
 	/**
 	 * Returns the size of the value.
-	 * @return bytes of UTF-8
+	 * @return the size in bytes of UTF-8
 	 */
 	public int bytes() {
 		return this.text.getBytes(StandardCharsets.UTF_8).length;
--- a/modules/core/src/main/java/org/ragworthook/core/store/Kind.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/Kind.java
@@ -1,8 +1,8 @@
 package org.ragworthook.core.store;
 
 /**
- * The kinds of object that the system keeps at the platform. Each is a collection of its
- * own in the object API.
+ * The kinds of objects that the system stores at the platform. Each kind is a separate
+ * collection in the object API.
  */
 public enum Kind {
 
@@ -15,25 +15,25 @@
 	/** Batch jobs, one small object each. */
 	JOB("jobs"),
 
-	/** The items of a job, in chunks that are never changed. */
+	/** The items of a job, in immutable chunks. */
 	CHUNK("chunks"),
 
-	/** The outcomes of a chunk's items. */
+	/** The results of a chunk's items. */
 	RESULT("results"),
 
-	/** How far items are that have not ended, one object a process. */
+	/** The progress of items that have not ended, one object for each process. */
 	PROGRESS("progress"),
 
-	/** Uploaded files: their header and how many chunks they have. */
+	/** Uploaded files: header and number of chunks. */
 	FILE("files"),
 
-	/** Claims on idempotency keys, recorded in groups. */
+	/** Claims on idempotency keys, several in one object. */
 	CLAIM("claims"),
 
-	/** Requests that crash upstreams. */
+	/** Requests that are refused because they crashed upstreams. */
 	QUARANTINE("quarantines"),
 
-	/** What processes and reconcilers report about themselves. */
+	/** Status reports of processes and reconcilers. */
 	STATUS("statuses");
 
 	private final String collection;
@@ -44,7 +44,7 @@
 
 	/**
 	 * Returns the name of the collection in the object API.
-	 * @return a plural in lower case
+	 * @return the name, a plural in lower case
 	 */
 	public String collection() {
 		return this.collection;
--- a/modules/core/src/main/java/org/ragworthook/core/store/Labels.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/Labels.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Labels of an object, by which it can be listed and watched. As a selector it matches
- * each object that carries all of its labels.
+ * The labels of an object, by which it can be listed and watched. Used as a selector,
+ * labels match each object that carries all of them.
  *
  * @param values the labels by name
  */
@@ -15,14 +15,14 @@
 	private static final Labels EMPTY = new Labels(Map.of());
 
 	/**
-	 * Copies the labels.
+	 * Copies the map.
 	 */
 	public Labels {
 		values = Map.copyOf(Objects.requireNonNull(values, "values is null"));
 	}
 
 	/**
-	 * Returns no labels; as a selector it matches every object.
+	 * Returns labels without entries; used as a selector, they match every object.
 	 * @return the empty labels
 	 */
 	public static Labels empty() {
@@ -33,17 +33,17 @@
 	 * Returns a single label.
 	 * @param name the label's name
 	 * @param value the label's value
-	 * @return the label
+	 * @return labels with that single entry
 	 */
 	public static Labels of(String name, String value) {
 		return new Labels(Map.of(name, value));
 	}
 
 	/**
-	 * Returns these labels and one more.
-	 * @param name the further label's name
-	 * @param value the further label's value
-	 * @return the labels together
+	 * Returns these labels with one label added or replaced.
+	 * @param name the label's name
+	 * @param value the label's value
+	 * @return the new labels
 	 */
 	public Labels with(String name, String value) {
 		Map<String, String> all = new TreeMap<>(this.values);
@@ -52,9 +52,9 @@
 	}
 
 	/**
-	 * Tells whether an object with the given labels is selected.
+	 * Returns whether this selector matches an object with the given labels.
 	 * @param labels the labels of an object
-	 * @return whether they contain all labels of this selector
+	 * @return whether the object carries all labels of this selector
 	 */
 	public boolean selects(Labels labels) {
 		return labels.values().entrySet().containsAll(this.values.entrySet());
--- a/modules/core/src/main/java/org/ragworthook/core/store/Listing.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/Listing.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * Objects as they were at one moment.
+ * A consistent snapshot of the objects that a selector matches.
  *
- * @param objects the objects selected, by name
- * @param version the version of the collection, from which a watch goes on without a gap
+ * @param objects the matching objects, sorted by name
+ * @param version the version of the snapshot; a watch that starts after this version
+ * misses no change
  */
 public record Listing(List<Stored> objects, long version) {
 
--- a/modules/core/src/main/java/org/ragworthook/core/store/MemoryObjectStore.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/MemoryObjectStore.java
@@ -17,13 +17,15 @@
 import org.ragworthook.core.error.StoreException;
 
 /**
- * An object store in this process's memory, for tests, for embedders' examples and as the
- * state of the project's stand-in. Futures are complete when they are returned.
+ * An in-memory object store for tests, for examples of embedding and as the backing store
+ * of the platform stand-in. Returned futures are already complete.
  */
 public final class MemoryObjectStore implements ObjectStore {
 
-	/** How many past events a watch can go back to. */
-	public static final int HISTORY = 10_000;
+	/**
+	 * The number of past events that are kept for watches that start at an older version.
+	 */
+	public static final int MAX_HISTORY_EVENTS = 10_000;
 
 	private final Map<Kind, TreeMap<String, Stored>> collections = new TreeMap<>();
 
@@ -40,7 +42,7 @@
 	}
 
 	/**
-	 * Returns a store without objects.
+	 * Returns an empty store.
 	 * @return a new store
 	 */
 	public static MemoryObjectStore empty() {
@@ -68,8 +70,8 @@
 		if (draft.bytes() > Draft.MAX_BYTES) {
 			return tooLarge(key, draft);
 		}
-		Stored present = collection(key).get(key.name());
-		if (present == null || present.version() != expected) {
+		Stored current = collection(key).get(key.name());
+		if (current == null || current.version() != expected) {
 			return conflict(key + " is not at version " + expected);
 		}
 		return CompletableFuture.completedFuture(put(key, draft));
@@ -77,16 +79,16 @@
 
 	@Override
 	public synchronized CompletableFuture<Boolean> delete(ObjectKey key, long expected) {
-		Stored present = collection(key).get(key.name());
-		if (present == null) {
+		Stored current = collection(key).get(key.name());
+		if (current == null) {
 			return CompletableFuture.completedFuture(false);
 		}
-		if (present.version() != expected) {
+		if (current.version() != expected) {
 			return conflict(key + " is not at version " + expected);
 		}
 		collection(key).remove(key.name());
 		this.version++;
-		publish(new WatchEvent(new Stored(key, this.version, present.draft()), true));
+		publish(new WatchEvent(new Stored(key, this.version, current.draft()), true));
 		return CompletableFuture.completedFuture(true);
 	}
 
@@ -106,20 +108,22 @@
 		Subscription subscription = new Subscription(kind, selector, events, ended);
 		synchronized (this) {
 			if (!this.history.isEmpty() && this.history.peekFirst().object().version() > after + 1
-					&& this.history.size() >= HISTORY) {
+					&& this.history.size() >= MAX_HISTORY_EVENTS) {
 				ended.run();
 				return () -> {
 				};
 			}
 			List<WatchEvent> missed = new ArrayList<>(this.history);
-			missed.stream().filter((event) -> event.object().version() > after).forEach(subscription::offer);
+			missed.stream()
+				.filter((event) -> event.object().version() > after)
+				.forEach(subscription::deliverIfSelected);
 			this.subscriptions.add(subscription);
 		}
 		return () -> this.subscriptions.remove(subscription);
 	}
 
 	/**
-	 * Ends every watch, as the platform does when it restarts.
+	 * Ends every watch, as a restart of the platform does.
 	 */
 	public void endWatches() {
 		List<Subscription> ending = List.copyOf(this.subscriptions);
@@ -141,10 +145,10 @@
 
 	private void publish(WatchEvent event) {
 		this.history.addLast(event);
-		if (this.history.size() > HISTORY) {
+		if (this.history.size() > MAX_HISTORY_EVENTS) {
 			this.history.removeFirst();
 		}
-		this.subscriptions.forEach((subscription) -> subscription.offer(event));
+		this.subscriptions.forEach((subscription) -> subscription.deliverIfSelected(event));
 	}
 
 	private static CompletableFuture<Stored> tooLarge(ObjectKey key, Draft draft) {
@@ -158,7 +162,7 @@
 
 	private record Subscription(Kind kind, Labels selector, Consumer<WatchEvent> events, Runnable ended) {
 
-		void offer(WatchEvent event) {
+		void deliverIfSelected(WatchEvent event) {
 			if (event.object().key().kind() == this.kind && this.selector.selects(event.object().draft().labels())) {
 				this.events.accept(event);
 			}
--- a/modules/core/src/main/java/org/ragworthook/core/store/ObjectKey.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/ObjectKey.java
@@ -4,19 +4,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Names one object at the platform.
+ * Identifies an object at the platform.
  *
- * @param kind the collection it is in
- * @param name its name within the collection: lower-case letters, digits, dots and
- * dashes, at most 253 characters
+ * @param kind the object's collection
+ * @param name the object's name within the collection: 1 to 253 lower-case letters,
+ * digits, dots and dashes, beginning and ending with a letter or digit
  */
 public record ObjectKey(Kind kind, String name) {
 
 	private static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?");
 
 	/**
-	 * Checks the name.
-	 * @throws IllegalArgumentException if the platform would not take the name
+	 * Validates the name.
+	 * @throws IllegalArgumentException if the platform would reject the name
 	 */
 	public ObjectKey {
 		Objects.requireNonNull(kind, "kind is null");
@@ -28,8 +28,8 @@
 
 	/**
 	 * Returns the key of an object.
-	 * @param kind the collection it is in
-	 * @param name its name within the collection
+	 * @param kind the object's collection
+	 * @param name the object's name within the collection
 	 * @return the key
 	 */
 	public static ObjectKey of(Kind kind, String name) {
--- a/modules/core/src/main/java/org/ragworthook/core/store/Stamps.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/Stamps.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Gives out a stamp for each write. Stamps of one process never repeat; two processes, or
- * two runs of one, are told apart by the writer's name, which must be unique to the run.
+ * Generates a unique identifier (stamp) for each write. A stamp consists of the writer's
+ * name and a sequence number, so the name must be unique to each run of each process.
  */
 public final class Stamps {
 
@@ -18,17 +18,17 @@
 	}
 
 	/**
-	 * Returns the stamps of a writer.
+	 * Returns a generator of stamps for a writer.
 	 * @param writer a name unique to this run of the process
-	 * @return a new sequence of stamps
+	 * @return a new generator, starting at sequence number 1
 	 */
 	public static Stamps of(String writer) {
 		return new Stamps(writer);
 	}
 
 	/**
-	 * Returns a stamp that was not given out before.
-	 * @return the stamp
+	 * Generates the next stamp.
+	 * @return a stamp that this generator has not returned before
 	 */
 	public String next() {
 		return this.writer + "#" + this.sequence.incrementAndGet();
@@ -36,7 +36,7 @@
 
 	/**
 	 * Returns the name of the writer.
-	 * @return the name
+	 * @return the name that all stamps begin with
 	 */
 	public String writer() {
 		return this.writer;
--- a/modules/core/src/main/java/org/ragworthook/core/store/Stored.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/Stored.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * An object as it was at one version.
+ * A version of an object, as stored at the platform.
  *
- * @param key which object
- * @param version the version that a conditional write must name; greater is newer, across
- * all objects of the platform
- * @param draft its content
+ * @param key the object's key
+ * @param version the version that a conditional write must state; versions increase
+ * across all objects of the platform
+ * @param draft the content of this version
  */
 public record Stored(ObjectKey key, long version, Draft draft) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Rejects null components.
 	 */
 	public Stored {
 		Objects.requireNonNull(key, "key is null");
@@ -22,7 +22,7 @@
 
 	/**
 	 * Returns the value.
-	 * @return text, encoded as UTF-8 at the platform
+	 * @return the value, which the platform stores as UTF-8
 	 */
 	public String text() {
 		return this.draft.text();
--- a/modules/core/src/main/java/org/ragworthook/core/store/WatchEvent.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/WatchEvent.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * A change of an object that a watch reports.
+ * A change of an object, as reported by a watch.
  *
- * @param object the object after the change, or as it last was if it is gone
- * @param gone whether the object was removed
+ * @param object the object after the change; after a deletion, its last content with the
+ * version of the deletion
+ * @param gone whether the object was deleted
  */
 public record WatchEvent(Stored object, boolean gone) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Rejects a null object.
 	 */
 	public WatchEvent {
 		Objects.requireNonNull(object, "object is null");
--- a/modules/core/src/main/java/org/ragworthook/core/store/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The platform's object API as the parts see it: versioned objects, conditional writes,
- * listings by label and watches. What has to be agreed or kept goes through here; every
+ * The platform's object API: versioned objects, conditional writes, listings by label and
+ * watches. All state that must be durable or agreed between processes is stored here; all
  * other state of the system is a cache of it or may be lost.
  */
 package org.ragworthook.core.store;
--- a/modules/core/src/test/java/org/ragworthook/core/store/ConditionalWriterLawsTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/store/ConditionalWriterLawsTests.java
@@ -18,10 +18,10 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The platform loses answers, delivers calls late and refuses others, while a second
- * writer changes the same object. A user would notice a writer that gets this wrong by an
- * accepted job that is called refused, a refused one that is run, or a change that
- * happens twice.
+ * Guards against a write whose reported outcome differs from its effect: an accepted job
+ * that is reported as rejected, a rejected job that runs, or a change that is applied
+ * twice. The store loses responses, applies writes late and rejects calls, while a second
+ * writer changes the same object.
  */
 class ConditionalWriterLawsTests {
 
@@ -30,16 +30,16 @@
 	private static final String SEED = "20261202";
 
 	@Property(seed = SEED, tries = 2000)
-	void shouldTellTheTruthAboutCreates(@ForAll("calls") List<Step> calls) {
-		Run run = new Run(calls);
-		run.check(run.writer.create(KEY, "mine", Labels.empty()));
+	void shouldReportActualOutcomeOfCreate(@ForAll("calls") List<Step> calls) {
+		Scenario scenario = new Scenario(calls);
+		scenario.assertOutcomeMatchesEffect(scenario.writer.create(KEY, "mine", Labels.empty()));
 	}
 
 	@Property(seed = SEED, tries = 2000)
-	void shouldTellTheTruthAboutUpdates(@ForAll("calls") List<Step> calls) {
-		Run run = new Run(calls);
-		Stored seen = run.store.create(KEY, Draft.of("before", "other#0")).join();
-		run.check(run.writer.update(seen, "mine"));
+	void shouldReportActualOutcomeOfUpdate(@ForAll("calls") List<Step> calls) {
+		Scenario scenario = new Scenario(calls);
+		Stored current = scenario.store.create(KEY, Draft.of("before", "other#0")).join();
+		scenario.assertOutcomeMatchesEffect(scenario.writer.update(current, "mine"));
 	}
 
 	@Provide
@@ -52,16 +52,16 @@
 	}
 
 	/**
-	 * What happens at one call of the writer.
+	 * The fault and the concurrent events of one store call of the writer.
 	 *
-	 * @param fault how the call fails
-	 * @param rival whether a second writer changes the object before the call
-	 * @param delivery whether late calls arrive before the call
+	 * @param fault the fault of the call
+	 * @param concurrentWrite whether a second writer changes the object before the call
+	 * @param delivers whether delayed calls reach the store before the call
 	 */
-	record Step(Fault fault, boolean rival, boolean delivery) {
+	record Step(Fault fault, boolean concurrentWrite, boolean delivers) {
 	}
 
-	private static final class Run {
+	private static final class Scenario {
 
 		private final MemoryObjectStore store = MemoryObjectStore.empty();
 
@@ -69,50 +69,50 @@
 
 		private final ConditionalWriter writer = ConditionalWriter.of(this.faulty, Stamps.of("mine"));
 
-		private final List<String> effects = new ArrayList<>();
+		private final List<String> appliedStamps = new ArrayList<>();
 
-		Run(List<Step> steps) {
-			this.store.watch(KEY.kind(), Labels.empty(), 0, (event) -> this.effects.add(event.object().draft().stamp()),
-					() -> {
+		Scenario(List<Step> steps) {
+			this.store.watch(KEY.kind(), Labels.empty(), 0,
+					(event) -> this.appliedStamps.add(event.object().draft().stamp()), () -> {
 					});
-			this.faulty.plan((call) -> (call.number() < steps.size()) ? before(steps.get(call.number())) : Fault.NONE);
+			this.faulty.plan((call) -> (call.number() < steps.size()) ? prepare(steps.get(call.number())) : Fault.NONE);
 		}
 
-		private Fault before(Step step) {
-			if (step.delivery()) {
+		private Fault prepare(Step step) {
+			if (step.delivers()) {
 				this.faulty.deliver();
 			}
-			if (step.rival()) {
-				replaceByRival();
+			if (step.concurrentWrite()) {
+				writeConcurrently();
 			}
 			return step.fault();
 		}
 
-		private void replaceByRival() {
-			Optional<Stored> present = this.store.read(KEY).join();
-			Draft draft = Draft.of("other", "other#" + (this.effects.size() + 1));
-			present.map((seen) -> this.store.update(KEY, draft, seen.version()))
+		private void writeConcurrently() {
+			Optional<Stored> found = this.store.read(KEY).join();
+			Draft draft = Draft.of("other", "other#" + (this.appliedStamps.size() + 1));
+			found.map((current) -> this.store.update(KEY, draft, current.version()))
 				.orElseGet(() -> this.store.create(KEY, draft))
 				.join();
 		}
 
-		void check(CompletableFuture<Stored> written) {
-			Optional<ErrorCode> failure = failure(written);
+		void assertOutcomeMatchesEffect(CompletableFuture<Stored> write) {
+			Optional<ErrorCode> failure = failure(write);
 			this.faulty.deliver();
-			long count = this.effects.stream().filter((stamp) -> stamp.startsWith("mine")).count();
-			assertThat(count).isAtMost(1);
+			long applied = this.appliedStamps.stream().filter((stamp) -> stamp.startsWith("mine")).count();
+			assertThat(applied).isAtMost(1);
 			if (failure.isEmpty()) {
-				assertThat(count).isEqualTo(1);
+				assertThat(applied).isEqualTo(1);
 			}
 			else if (failure.get() != ErrorCode.STORE_OUTCOME_UNKNOWN) {
-				assertThat(count).isEqualTo(0);
+				assertThat(applied).isEqualTo(0);
 			}
 		}
 
-		private static Optional<ErrorCode> failure(CompletableFuture<Stored> written) {
-			assertThat(written.isDone()).isTrue();
+		private static Optional<ErrorCode> failure(CompletableFuture<Stored> write) {
+			assertThat(write.isDone()).isTrue();
 			try {
-				written.join();
+				write.join();
 				return Optional.empty();
 			}
 			catch (CompletionException ex) {
--- a/modules/core/src/test/java/org/ragworthook/core/store/FaultyObjectStore.java
+++ b/modules/core/src/test/java/org/ragworthook/core/store/FaultyObjectStore.java
@@ -15,7 +15,7 @@
 import org.ragworthook.core.error.StoreException;
 
 /**
- * A store on which calls fail as a test plans it.
+ * An object store that injects faults into calls as planned by a test.
  */
 public final class FaultyObjectStore implements ObjectStore {
 
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * Returns a store without faults so far.
-	 * @param store takes the calls that get through
+	 * Returns a store that injects no faults until some are planned.
+	 * @param store the store that receives the calls that are not lost
 	 * @return the store
 	 */
 	public static FaultyObjectStore over(ObjectStore store) {
@@ -41,23 +41,23 @@
 	}
 
 	/**
-	 * Sets what happens to each call from now on.
-	 * @param faults the fault of a call
+	 * Sets the faults of all further calls.
+	 * @param faults chooses the fault of a call
 	 */
 	public void plan(Function<Call, Fault> faults) {
 		this.plan = faults;
 	}
 
 	/**
-	 * Sets one fault for all calls from now on.
-	 * @param fault what happens
+	 * Sets one fault for all further calls.
+	 * @param fault the fault of each call
 	 */
 	public void plan(Fault fault) {
 		this.plan = (call) -> fault;
 	}
 
 	/**
-	 * Returns the calls made so far.
+	 * Returns the calls made so far, without watches.
 	 * @return the calls in order
 	 */
 	public List<Call> calls() {
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Lets delayed calls through, in order.
+	 * Passes the delayed calls on to the store, in order.
 	 */
 	public void deliver() {
 		while (!this.delayed.isEmpty()) {
@@ -103,29 +103,30 @@
 		return this.store.watch(kind, selector, after, events, ended);
 	}
 
-	private <T> CompletableFuture<T> call(String verb, Kind kind, String name, Supplier<CompletableFuture<T>> step) {
+	private <T> CompletableFuture<T> call(String verb, Kind kind, String name,
+			Supplier<CompletableFuture<T>> operation) {
 		Call call = new Call(this.calls.size(), verb, kind, name);
 		this.calls.add(call);
 		return switch (this.plan.apply(call)) {
-			case NONE -> step.get();
+			case NONE -> operation.get();
 			case REFUSED -> failed(ErrorCode.STORE_UNAVAILABLE, call);
 			case REQUEST_LOST -> failed(ErrorCode.STORE_OUTCOME_UNKNOWN, call);
 			case ANSWER_LOST -> {
-				step.get();
+				operation.get();
 				yield failed(ErrorCode.STORE_OUTCOME_UNKNOWN, call);
 			}
 			case LATE -> {
-				this.delayed.add(step::get);
+				this.delayed.add(operation::get);
 				yield failed(ErrorCode.STORE_OUTCOME_UNKNOWN, call);
 			}
 			case DEAD_BEFORE -> new CompletableFuture<>();
 			case DEAD_AFTER -> {
-				step.get();
+				operation.get();
 				yield new CompletableFuture<>();
 			}
 			case DELAYED -> {
 				CompletableFuture<T> later = new CompletableFuture<>();
-				this.delayed.add(() -> complete(later, step.get()));
+				this.delayed.add(() -> complete(later, operation.get()));
 				yield later;
 			}
 		};
@@ -143,52 +144,55 @@
 	}
 
 	private static <T> CompletableFuture<T> failed(ErrorCode code, Call call) {
-		return CompletableFuture.failedFuture(new StoreException(code, "planned for " + call));
+		return CompletableFuture.failedFuture(new StoreException(code, "injected fault of " + call));
 	}
 
 	/**
-	 * What happens to a call.
+	 * The fault that is injected into a call.
 	 */
 	public enum Fault {
 
-		/** It succeeds. */
+		/** No fault: the call is passed on. */
 		NONE,
 
-		/** It has no effect, and the caller is told so. */
+		/** The call has no effect and fails with {@code STORE_UNAVAILABLE}. */
 		REFUSED,
 
-		/** It has no effect, and the caller cannot know. */
+		/** The call has no effect and fails with {@code STORE_OUTCOME_UNKNOWN}. */
 		REQUEST_LOST,
 
-		/** It takes effect, and the caller cannot know. */
+		/** The call takes effect and fails with {@code STORE_OUTCOME_UNKNOWN}. */
 		ANSWER_LOST,
 
-		/** The caller cannot know, and it takes effect when the test delivers it. */
+		/**
+		 * The call fails with {@code STORE_OUTCOME_UNKNOWN} and takes effect on
+		 * {@link FaultyObjectStore#deliver}.
+		 */
 		LATE,
 
-		/** It has no effect and no answer: the caller died before it. */
+		/** The call has no effect and never completes: the caller crashed before it. */
 		DEAD_BEFORE,
 
-		/** It takes effect and has no answer: the caller died after it. */
+		/** The call takes effect and never completes: the caller crashed after it. */
 		DEAD_AFTER,
 
-		/** It takes effect when the test delivers it. */
+		/** The call takes effect and completes on {@link FaultyObjectStore#deliver}. */
 		DELAYED
 
 	}
 
 	/**
-	 * A call that was made.
+	 * A call to the store.
 	 *
-	 * @param number how many calls came before it
-	 * @param verb what it does
-	 * @param kind the collection
-	 * @param name the object's name, empty for a list
+	 * @param number the number of earlier calls
+	 * @param verb the operation, such as {@code create}
+	 * @param kind the collection of the call
+	 * @param name the object's name; empty for a list call
 	 */
 	public record Call(int number, String verb, Kind kind, String name) {
 
 		/**
-		 * Tells whether the call changes something.
+		 * Returns whether the call is a write.
 		 * @return whether it is a create, an update or a delete
 		 */
 		public boolean writes() {
--- a/modules/core/src/test/java/org/ragworthook/core/store/package-info.java
+++ b/modules/core/src/test/java/org/ragworthook/core/store/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Test support for parts that keep their state at the platform.
+ * Tests of the store package, and an object store with injected faults for other tests.
  */
 package org.ragworthook.core.store;
