--- a/modules/core/src/main/java/org/ragworthook/core/error/ConfigException.java
+++ b/modules/core/src/main/java/org/ragworthook/core/error/ConfigException.java
@@ -1,26 +1,27 @@
 package org.ragworthook.core.error;
 
 /**
- * An error in a process's settings or in the operators' text.
+ * Thrown when a process's settings or a submitted configuration are invalid or cannot be
+ * read.
  */
 public final class ConfigException extends RagworthookException {
 
 	private static final long serialVersionUID = 1L;
 
 	/**
-	 * Creates an error without a cause.
-	 * @param code what kind of error this is
-	 * @param detail what happened, with the place or the value concerned
+	 * Creates an exception without a cause.
+	 * @param code the error code
+	 * @param detail what happened, including the location or the value concerned
 	 */
 	public ConfigException(ErrorCode code, String detail) {
 		this(code, detail, null);
 	}
 
 	/**
-	 * Creates an error with a cause.
-	 * @param code what kind of error this is
-	 * @param detail what happened, with the place or the value concerned
-	 * @param cause the error that led to this one, or {@code null}
+	 * Creates an exception with a cause.
+	 * @param code the error code
+	 * @param detail what happened, including the location or the value concerned
+	 * @param cause the underlying error, or {@code null} if there is none
 	 */
 	public ConfigException(ErrorCode code, String detail, Throwable cause) {
 		super(code, detail, cause);
--- a/modules/core/src/main/java/org/ragworthook/core/error/Failures.java
+++ b/modules/core/src/main/java/org/ragworthook/core/error/Failures.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Finds the error behind a failed future.
+ * Unwraps the exceptions of failed futures.
  */
 public final class Failures {
 
@@ -11,10 +11,10 @@
 	}
 
 	/**
-	 * Returns what a future failed with, without the exceptions that futures wrap around
-	 * it.
-	 * @param failure what a stage of a future was given
-	 * @return the error itself
+	 * Returns the original cause of a failed future, without the
+	 * {@link CompletionException}s that dependent stages wrap around it.
+	 * @param failure the exception that a stage was completed with
+	 * @return the innermost exception that is not a wrapper
 	 */
 	public static Throwable root(Throwable failure) {
 		Throwable cause = failure;
--- a/modules/core/src/main/java/org/ragworthook/core/error/JobException.java
+++ b/modules/core/src/main/java/org/ragworthook/core/error/JobException.java
@@ -1,26 +1,27 @@
 package org.ragworthook.core.error;
 
 /**
- * A file or batch job that was refused or that is not there.
+ * Thrown when an operation on a file or a batch job is rejected or the file or job does
+ * not exist.
  */
 public final class JobException extends RagworthookException {
 
 	private static final long serialVersionUID = 1L;
 
 	/**
-	 * Creates an error without a cause.
-	 * @param code what kind of error this is
-	 * @param detail what happened, with the place or the value concerned
+	 * Creates an exception without a cause.
+	 * @param code the error code
+	 * @param detail what happened, including the location or the value concerned
 	 */
 	public JobException(ErrorCode code, String detail) {
 		this(code, detail, null);
 	}
 
 	/**
-	 * Creates an error with a cause.
-	 * @param code what kind of error this is
-	 * @param detail what happened, with the place or the value concerned
-	 * @param cause the error that led to this one, or {@code null}
+	 * Creates an exception with a cause.
+	 * @param code the error code
+	 * @param detail what happened, including the location or the value concerned
+	 * @param cause the underlying error, or {@code null} if there is none
 	 */
 	public JobException(ErrorCode code, String detail, Throwable cause) {
 		super(code, detail, cause);
--- a/modules/core/src/main/java/org/ragworthook/core/error/RagworthookException.java
+++ b/modules/core/src/main/java/org/ragworthook/core/error/RagworthookException.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * The root of the system's errors. Its message says what happened and what to do about
- * it.
+ * The base class of the system's exceptions. The message consists of the error code, the
+ * detail and the remedy.
  */
 public abstract sealed class RagworthookException extends RuntimeException permits ConfigException, RequestException,
 		JobException, StoreException, OrderException, AccessException, LinkException {
@@ -22,15 +22,15 @@
 
 	/**
 	 * Returns the code of this error.
-	 * @return the code
+	 * @return the error code
 	 */
 	public ErrorCode code() {
 		return this.code;
 	}
 
 	/**
-	 * Returns what happened, without the code and the remedy.
-	 * @return the detail
+	 * Returns the description of the failure, without the code and the remedy.
+	 * @return the detail that was passed to the constructor
 	 */
 	public String detail() {
 		return this.detail;
--- a/modules/core/src/main/java/org/ragworthook/core/error/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/error/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The errors of the system: one sealed family of unchecked exceptions, each with a code,
- * a kind and a remedy.
+ * The errors of the system: a sealed hierarchy of unchecked exceptions. Each exception
+ * has an {@link org.ragworthook.core.error.ErrorCode}, which gives its HTTP status and
+ * remedy.
  */
 package org.ragworthook.core.error;
--- a/modules/core/src/test/java/org/ragworthook/core/error/ErrorPageTests.java
+++ b/modules/core/src/test/java/org/ragworthook/core/error/ErrorPageTests.java
@@ -14,8 +14,8 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * An operator looks a code up in docs/ERRORS.md; the page has each code of the program
- * and no other.
+ * Guards against a docs/ERRORS.md that is out of date: operators look codes up there, so
+ * its table must list exactly the codes of {@link ErrorCode}.
  */
 class ErrorPageTests {
 
@@ -25,16 +25,16 @@
 
 	@Test
 	void shouldListEachCodeOnceInOrder() throws IOException {
-		List<String> listed = Files.readAllLines(PAGE).stream().filter(ROW.asMatchPredicate()).toList();
-		List<String> known = Stream.of(ErrorCode.values())
+		List<String> documented = Files.readAllLines(PAGE).stream().filter(ROW.asMatchPredicate()).toList();
+		List<String> expected = Stream.of(ErrorCode.values())
 			.sorted(Comparator.comparingInt(ErrorCode::number))
 			.map(ErrorPageTests::row)
 			.toList();
-		assertWithMessage("rows of docs/ERRORS.md").that(listed).containsExactlyElementsIn(known).inOrder();
+		assertWithMessage("rows of docs/ERRORS.md").that(documented).containsExactlyElementsIn(expected).inOrder();
 	}
 
 	@Test
-	void shouldNotUseANumberTwice() {
+	void shouldUseEachNumberOnce() {
 		List<Integer> numbers = Stream.of(ErrorCode.values()).map(ErrorCode::number).toList();
 		assertThat(numbers).containsNoDuplicates();
 	}
