--- a/modules/core/src/main/java/org/ragworthook/core/close/Closer.java
+++ b/modules/core/src/main/java/org/ragworthook/core/close/Closer.java
@@ -7,8 +7,8 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * Gathers resources and closes them in the reverse order. A resource that fails to close
- * is logged and does not keep the others open.
+ * Collects resources and closes them in reverse order of addition. If a resource fails to
+ * close, the failure is logged and the remaining resources are closed all the same.
  */
 public final class Closer implements AutoCloseable {
 
@@ -30,10 +30,10 @@
 	}
 
 	/**
-	 * Adds a resource; one that comes after the close is closed at once.
+	 * Adds a resource. If this closer is already closed, the resource is closed at once.
 	 * @param <T> the type of the resource
-	 * @param resource what to close
-	 * @return the resource
+	 * @param resource the resource to close
+	 * @return the given resource
 	 */
 	public <T extends AutoCloseable> T add(T resource) {
 		Objects.requireNonNull(resource, "resource is null");
@@ -49,12 +49,12 @@
 
 	@Override
 	public void close() {
-		for (AutoCloseable resource = next(); resource != null; resource = next()) {
+		for (AutoCloseable resource = pollNext(); resource != null; resource = pollNext()) {
 			close(resource);
 		}
 	}
 
-	private synchronized AutoCloseable next() {
+	private synchronized AutoCloseable pollNext() {
 		this.closed = true;
 		return this.resources.poll();
 	}
--- a/modules/core/src/main/java/org/ragworthook/core/close/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/close/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Gathers resources and closes them together.
+ * Closes the resources of a component together.
  */
 package org.ragworthook.core.close;
--- a/modules/core/src/main/java/org/ragworthook/core/fleet/Address.java
+++ b/modules/core/src/main/java/org/ragworthook/core/fleet/Address.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * Where a process listens.
+ * The address that a process listens on.
  *
- * @param host an IP number, without brackets
- * @param port a port from 0 to 65535; 0 asks for any free one
+ * @param host an IP address, without brackets
+ * @param port the port, 0 to 65535; 0 requests any free port
  */
 public record Address(String host, int port) {
 
 	/**
-	 * Checks the port.
+	 * Validates the components.
 	 * @throws IllegalArgumentException if the port is out of range
 	 */
 	public Address {
@@ -22,22 +22,23 @@
 	}
 
 	/**
-	 * Reads an address.
+	 * Parses an address.
 	 * @param text host and port, such as {@code 127.0.0.1:7080} or {@code [::1]:7080}
 	 * @return the address
-	 * @throws IllegalArgumentException if the text is not a host and a port
+	 * @throws IllegalArgumentException if the text is not a host and a port from 0 to
+	 * 65535
 	 */
 	public static Address parse(String text) {
 		int colon = Objects.requireNonNull(text, "text is null").lastIndexOf(':');
 		if (colon < 1) {
 			throw new IllegalArgumentException("'" + text + "' is not host:port");
 		}
-		String number = text.substring(0, colon);
-		if (number.startsWith("[") && number.endsWith("]")) {
-			number = number.substring(1, number.length() - 1);
+		String hostText = text.substring(0, colon);
+		if (hostText.startsWith("[") && hostText.endsWith("]")) {
+			hostText = hostText.substring(1, hostText.length() - 1);
 		}
 		try {
-			return new Address(number, Integer.parseInt(text.substring(colon + 1)));
+			return new Address(hostText, Integer.parseInt(text.substring(colon + 1)));
 		}
 		catch (NumberFormatException ex) {
 			throw new IllegalArgumentException("'" + text + "' has no number for a port", ex);
--- a/modules/core/src/main/java/org/ragworthook/core/fleet/FailureDomain.java
+++ b/modules/core/src/main/java/org/ragworthook/core/fleet/FailureDomain.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * A part of a region whose instances can be lost together.
+ * A part of a region whose instances can fail together.
  *
- * @param region the region that it is in
- * @param name its name, unique over all regions
+ * @param region the region that contains the failure domain
+ * @param name the failure domain's name, unique across all regions
  */
 public record FailureDomain(String region, String name) implements Comparable<FailureDomain> {
 
 	/**
-	 * Checks that both names are there.
+	 * Rejects null components.
 	 */
 	public FailureDomain {
 		Objects.requireNonNull(region, "region is null");
@@ -20,8 +20,8 @@
 
 	/**
 	 * Returns a failure domain.
-	 * @param region the region that it is in
-	 * @param name its name
+	 * @param region the region that contains the failure domain
+	 * @param name the failure domain's name, unique across all regions
 	 * @return the failure domain
 	 */
 	public static FailureDomain of(String region, String name) {
--- a/modules/core/src/main/java/org/ragworthook/core/fleet/Instance.java
+++ b/modules/core/src/main/java/org/ragworthook/core/fleet/Instance.java
@@ -3,20 +3,20 @@
 import java.util.Objects;
 
 /**
- * One process of the system as the platform lists it.
+ * A process of the system, as listed by the platform.
  *
- * @param id its identity, unique to this run of the process
- * @param role what it does
- * @param service the service of its upstream, or the empty text for an entry
- * @param failureDomain where it stands
- * @param link where it takes links
- * @param leaving whether it is about to stop
+ * @param id the process's identifier, unique to this run
+ * @param role the process's role
+ * @param service the service of a sidecar's upstream; empty for an entry
+ * @param failureDomain the failure domain that the process runs in
+ * @param link the address on which the process accepts links
+ * @param leaving whether the process is shutting down
  */
 public record Instance(String id, Role role, String service, FailureDomain failureDomain, Address link,
 		boolean leaving) {
 
 	/**
-	 * Checks that all parts are there.
+	 * Rejects null components.
 	 */
 	public Instance {
 		Objects.requireNonNull(id, "id is null");
--- a/modules/core/src/main/java/org/ragworthook/core/fleet/InstanceList.java
+++ b/modules/core/src/main/java/org/ragworthook/core/fleet/InstanceList.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's list of instances. It lags: an instance that is gone may still be in it,
- * and one that has come may not be in it yet.
+ * The platform's list of instances. The list is eventually consistent: it may still
+ * contain an instance that has stopped and may not yet contain one that has started.
  */
 @FunctionalInterface
 public interface InstanceList {
 
 	/**
 	 * Reads the list.
-	 * @return all instances, live and leaving
+	 * @return all listed instances, including those that are shutting down
 	 */
 	CompletableFuture<List<Instance>> instances();
 
--- a/modules/core/src/main/java/org/ragworthook/core/fleet/Role.java
+++ b/modules/core/src/main/java/org/ragworthook/core/fleet/Role.java
@@ -1,14 +1,16 @@
 package org.ragworthook.core.fleet;
 
 /**
- * What a process of the system does.
+ * The role of a process.
  */
 public enum Role {
 
-	/** Takes callers' requests, routes them and coordinates. */
+	/**
+	 * Accepts client requests, routes them to sidecars and takes part in coordination.
+	 */
 	ENTRY,
 
-	/** Stands beside one upstream and is the only way to it. */
+	/** Runs beside one upstream and proxies all requests to it. */
 	SIDECAR
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/fleet/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The machines as they are: instances, the failure domains they stand in, and the
- * platform's lagging list of them.
+ * The processes of a deployment: instances with their addresses and failure domains, and
+ * the platform's eventually consistent list of them.
  */
 package org.ragworthook.core.fleet;
--- a/modules/core/src/main/java/org/ragworthook/core/log/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Logs: one line of key=value pairs for each event, through
+ * Structured logging: one line of key=value pairs for each event, written through
  * {@link java.lang.System.Logger}.
  */
 package org.ragworthook.core.log;
--- a/modules/core/src/main/java/org/ragworthook/core/time/ManualTime.java
+++ b/modules/core/src/main/java/org/ragworthook/core/time/ManualTime.java
@@ -6,15 +6,15 @@
 import java.util.PriorityQueue;
 
 /**
- * A ticker and timers that move only when told to. For tests and for embedders who replay
- * a run.
+ * A ticker and timers whose time moves only by {@link #advance}. For tests, and for
+ * embedders that replay a run.
  */
 public final class ManualTime implements Ticker, Timers {
 
-	private final PriorityQueue<Entry> entries = new PriorityQueue<>(
-			Comparator.comparingLong(Entry::due).thenComparingLong(Entry::order));
+	private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>(
+			Comparator.comparingLong(ScheduledTask::dueNanos).thenComparingLong(ScheduledTask::order));
 
-	private long now;
+	private long nowNanos;
 
 	private long order;
 
@@ -22,8 +22,8 @@
 	}
 
 	/**
-	 * Returns a time that stands at zero.
-	 * @return a new time
+	 * Returns a manual time that starts at zero.
+	 * @return a new manual time
 	 */
 	public static ManualTime of() {
 		return new ManualTime();
@@ -31,47 +31,48 @@
 
 	@Override
 	public synchronized long nanos() {
-		return this.now;
+		return this.nowNanos;
 	}
 
 	@Override
 	public synchronized Timer schedule(Duration delay, Runnable task) {
 		Objects.requireNonNull(delay, "delay is null");
 		Objects.requireNonNull(task, "task is null");
-		Entry entry = new Entry(this.now + Math.max(0, delay.toNanos()), this.order++, task);
-		this.entries.add(entry);
-		return () -> cancel(entry);
+		ScheduledTask scheduled = new ScheduledTask(this.nowNanos + Math.max(0, delay.toNanos()), this.order++, task);
+		this.scheduledTasks.add(scheduled);
+		return () -> cancel(scheduled);
 	}
 
-	private synchronized void cancel(Entry entry) {
-		this.entries.remove(entry);
+	private synchronized void cancel(ScheduledTask scheduled) {
+		this.scheduledTasks.remove(scheduled);
 	}
 
 	/**
-	 * Moves time forward and runs every task that falls due, in order of due time.
-	 * @param step how far to move, not negative
+	 * Advances the time and runs every task that becomes due on the calling thread, in
+	 * order of due time.
+	 * @param step the duration to advance by, not negative
 	 */
 	public void advance(Duration step) {
 		Objects.requireNonNull(step, "step is null");
-		long target = nanos() + step.toNanos();
-		for (Entry entry = next(target); entry != null; entry = next(target)) {
-			entry.task().run();
+		long targetNanos = nanos() + step.toNanos();
+		for (ScheduledTask scheduled = pollDue(targetNanos); scheduled != null; scheduled = pollDue(targetNanos)) {
+			scheduled.task().run();
 		}
 		synchronized (this) {
-			this.now = target;
+			this.nowNanos = targetNanos;
 		}
 	}
 
-	private synchronized Entry next(long target) {
-		Entry head = this.entries.peek();
-		if (head == null || head.due() > target) {
+	private synchronized ScheduledTask pollDue(long targetNanos) {
+		ScheduledTask earliest = this.scheduledTasks.peek();
+		if (earliest == null || earliest.dueNanos() > targetNanos) {
 			return null;
 		}
-		this.now = Math.max(this.now, head.due());
-		return this.entries.poll();
+		this.nowNanos = Math.max(this.nowNanos, earliest.dueNanos());
+		return this.scheduledTasks.poll();
 	}
 
-	private record Entry(long due, long order, Runnable task) {
+	private record ScheduledTask(long dueNanos, long order, Runnable task) {
 	}
 
 }
--- a/modules/core/src/main/java/org/ragworthook/core/time/Ticker.java
+++ b/modules/core/src/main/java/org/ragworthook/core/time/Ticker.java
@@ -1,19 +1,19 @@
 package org.ragworthook.core.time;
 
 /**
- * A monotonic source of time. Its readings are comparable within one process only.
+ * A monotonic clock. Its readings can be compared only within one process.
  */
 @FunctionalInterface
 public interface Ticker {
 
 	/**
-	 * Returns the reading of the machine's monotonic clock.
+	 * Returns the current reading of the clock.
 	 * @return nanoseconds since an arbitrary origin
 	 */
 	long nanos();
 
 	/**
-	 * Returns the ticker of this machine.
+	 * Returns the ticker of the Java virtual machine.
 	 * @return a ticker that reads {@link System#nanoTime()}
 	 */
 	static Ticker system() {
--- a/modules/core/src/main/java/org/ragworthook/core/time/Timers.java
+++ b/modules/core/src/main/java/org/ragworthook/core/time/Timers.java
@@ -3,27 +3,27 @@
 import java.time.Duration;
 
 /**
- * Runs tasks after a delay.
+ * Schedules tasks to run after a delay.
  */
 @FunctionalInterface
 public interface Timers {
 
 	/**
 	 * Runs a task once after a delay.
-	 * @param delay how long to wait; a negative delay counts as zero
-	 * @param task what to run
+	 * @param delay the delay before the task runs; a negative delay counts as zero
+	 * @param task the task to run
 	 * @return a handle that cancels the task
 	 */
 	Timer schedule(Duration delay, Runnable task);
 
 	/**
-	 * A task that waits to be run.
+	 * A handle of a scheduled task.
 	 */
 	@FunctionalInterface
 	interface Timer {
 
 		/**
-		 * Keeps the task from running, unless it runs already or has run.
+		 * Cancels the task; has no effect if the task is running or has run.
 		 */
 		void cancel();
 
--- a/modules/core/src/main/java/org/ragworthook/core/time/package-info.java
+++ b/modules/core/src/main/java/org/ragworthook/core/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Time as it is handed to the parts: a monotonic ticker and timers. No part reads a clock
- * of its own, so that tests decide what time it is.
+ * Injectable time: a monotonic ticker and timers. Components take these instead of
+ * reading a system clock, so that tests control the time.
  */
 package org.ragworthook.core.time;
