--- a/modules/wire/src/main/java/org/ragworthook/wire/link/Link.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/Link.java
@@ -8,8 +8,8 @@
 import org.ragworthook.wire.message.Lane;
 
 /**
- * An open link to another process. Frames arrive in the order in which they were sent, or
- * the link is lost.
+ * An open link to another process. Frames are delivered in the order in which they were
+ * sent; a frame is lost only if the link is closed.
  */
 public final class Link implements AutoCloseable {
 
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * Returns what this link carries.
+	 * Returns the lane of this link, which determines the frames that the link carries.
 	 * @return the lane
 	 */
 	public Lane lane() {
@@ -35,16 +35,16 @@
 
 	/**
 	 * Returns the process at the other end.
-	 * @return the process as it greeted
+	 * @return the process, as described by its handshake
 	 */
 	public Remote remote() {
 		return this.remote;
 	}
 
 	/**
-	 * Sends a frame. Nothing is known of its arrival; an answer, if any, is another
-	 * frame.
-	 * @param frame the frame
+	 * Sends a frame without confirmation of delivery. A response, if there is one, is a
+	 * separate frame.
+	 * @param frame the frame to send
 	 * @return whether the link was open
 	 */
 	public boolean send(Frame frame) {
@@ -56,15 +56,15 @@
 	}
 
 	/**
-	 * Tells whether a frame sent now would leave soon.
-	 * @return false while too much waits to be sent
+	 * Returns whether the outbound buffer has room for more frames.
+	 * @return false while the buffer is above the channel's high-water mark
 	 */
 	public boolean writable() {
 		return this.channel.isWritable();
 	}
 
 	/**
-	 * Tells whether the link is open.
+	 * Returns whether the link is open.
 	 * @return whether frames can be sent
 	 */
 	public boolean open() {
@@ -72,8 +72,8 @@
 	}
 
 	/**
-	 * Returns the thread on which the listener is called for this link.
-	 * @return the link's thread
+	 * Returns the executor on whose thread the listener is called for this link.
+	 * @return the link's event loop
 	 */
 	public Executor executor() {
 		return this.channel.eventLoop();
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/LinkChannels.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/LinkChannels.java
@@ -15,7 +15,8 @@
 import org.ragworthook.wire.message.Frame;
 
 /**
- * Sets up the channel of a link: frames of protobuf behind a length of four bytes.
+ * Sets up the channel pipeline of a link: protobuf frames, each preceded by its length in
+ * four bytes.
  */
 final class LinkChannels {
 
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/LinkClient.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/LinkClient.java
@@ -21,15 +21,15 @@
 import org.ragworthook.wire.message.Hello;
 
 /**
- * Keeps one link to another process open until closed: a link that is lost is opened
- * again, after a delay that doubles with each failure and is drawn at random, so that a
- * process which comes back is not met by all others at once.
+ * Keeps one link to another process open until closed. A lost link is reopened after an
+ * exponential back-off with jitter, so that a restarted process is not contacted by all
+ * others at once.
  */
 public final class LinkClient implements AutoCloseable {
 
-	private static final long MIN_DELAY_MILLIS = 20;
+	private static final long MIN_RECONNECT_DELAY_MILLIS = 20;
 
-	private static final long MAX_DELAY_MILLIS = 2_000;
+	private static final long MAX_RECONNECT_DELAY_MILLIS = 2_000;
 
 	private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
 
@@ -47,7 +47,7 @@
 
 	private volatile Channel channel;
 
-	private long delayMillis = MIN_DELAY_MILLIS;
+	private long reconnectDelayMillis = MIN_RECONNECT_DELAY_MILLIS;
 
 	private LinkClient(EventLoop loop, Address address, LinkOptions options, Supplier<Hello> hello,
 			LinkListener listener) {
@@ -59,24 +59,24 @@
 	}
 
 	/**
-	 * Starts to connect.
-	 * @param loops the threads of the links
-	 * @param address where the other process listens
-	 * @param options how links behave
-	 * @param hello makes the greeting for each attempt
-	 * @param listener takes what happens on the link
-	 * @return the client, connecting
+	 * Starts connecting to another process.
+	 * @param loops the event loops that run the links
+	 * @param address the address that the other process listens on
+	 * @param options the options of the link
+	 * @param hello supplies the handshake message of each connection attempt
+	 * @param listener called with the events of the link
+	 * @return a client that is connecting
 	 */
 	public static LinkClient connect(EventLoopGroup loops, Address address, LinkOptions options, Supplier<Hello> hello,
 			LinkListener listener) {
 		LinkClient client = new LinkClient(loops.next(), Objects.requireNonNull(address, "address is null"),
 				Objects.requireNonNull(options, "options is null"), Objects.requireNonNull(hello, "hello is null"),
 				Objects.requireNonNull(listener, "listener is null"));
-		client.loop.execute(client::attempt);
+		client.loop.execute(client::openChannel);
 		return client;
 	}
 
-	private void attempt() {
+	private void openChannel() {
 		if (this.closed) {
 			return;
 		}
@@ -89,13 +89,13 @@
 				@Override
 				protected void initChannel(Channel created) {
 					LinkChannels.init(created, LinkClient.this.options, tls(created),
-							LinkHandler.connecting(new Resetting(), LinkClient.this.hello.get()));
+							LinkHandler.connecting(new BackoffResettingListener(), LinkClient.this.hello.get()));
 				}
 
 			})
 			.connect(new InetSocketAddress(this.address.host(), this.address.port()));
 		this.channel = connecting.channel();
-		connecting.channel().closeFuture().addListener((done) -> again());
+		connecting.channel().closeFuture().addListener((done) -> scheduleReconnect());
 		if (this.closed) {
 			connecting.channel().close();
 		}
@@ -106,11 +106,12 @@
 			.map((identity) -> identity.client().newHandler(created.alloc(), this.address.host(), this.address.port()));
 	}
 
-	private void again() {
+	private void scheduleReconnect() {
 		if (!this.closed) {
-			long wait = this.delayMillis / 2 + ThreadLocalRandom.current().nextLong(this.delayMillis);
-			this.delayMillis = Math.min(MAX_DELAY_MILLIS, this.delayMillis * 2);
-			this.loop.schedule(this::attempt, wait, TimeUnit.MILLISECONDS);
+			long jitteredDelayMillis = this.reconnectDelayMillis / 2
+					+ ThreadLocalRandom.current().nextLong(this.reconnectDelayMillis);
+			this.reconnectDelayMillis = Math.min(MAX_RECONNECT_DELAY_MILLIS, this.reconnectDelayMillis * 2);
+			this.loop.schedule(this::openChannel, jitteredDelayMillis, TimeUnit.MILLISECONDS);
 		}
 	}
 
@@ -124,13 +125,13 @@
 	}
 
 	/**
-	 * Passes everything on and takes the delay back once a link is open.
+	 * Forwards all events and resets the back-off when a link has been opened.
 	 */
-	private final class Resetting implements LinkListener {
+	private final class BackoffResettingListener implements LinkListener {
 
 		@Override
 		public void opened(Link link) {
-			LinkClient.this.delayMillis = MIN_DELAY_MILLIS;
+			LinkClient.this.reconnectDelayMillis = MIN_RECONNECT_DELAY_MILLIS;
 			LinkClient.this.listener.opened(link);
 		}
 
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/LinkHandler.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/LinkHandler.java
@@ -16,11 +16,12 @@
 import org.ragworthook.wire.message.Welcome;
 
 /**
- * One channel's greeting, heartbeat and frames.
+ * Handles the handshake, the heartbeat and the frames of one channel.
  * <p>
- * A machine can vanish without a word: its connections then look open for many minutes,
- * and requests sent there would wait that long. So a link that has been silent sends a
- * ping, and one that has heard nothing for the timeout is closed, whatever TCP believes.
+ * If an instance disappears without closing its connections, TCP keeps them open for many
+ * minutes, and requests sent on them would wait that long. So a ping is sent after the
+ * heartbeat interval without a write, and the channel is closed if nothing has been
+ * received within the timeout.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
 
@@ -30,7 +31,7 @@
 
 	private final LinkListener listener;
 
-	private final Function<ChannelHandlerContext, Frame> greeting;
+	private final Function<ChannelHandlerContext, Frame> handshakeFrame;
 
 	private final boolean accepting;
 
@@ -38,10 +39,10 @@
 
 	private Link link;
 
-	private LinkHandler(LinkListener listener, Function<ChannelHandlerContext, Frame> greeting, boolean accepting,
+	private LinkHandler(LinkListener listener, Function<ChannelHandlerContext, Frame> handshakeFrame, boolean accepting,
 			Lane expectedLane) {
 		this.listener = listener;
-		this.greeting = greeting;
+		this.handshakeFrame = handshakeFrame;
 		this.accepting = accepting;
 		this.expectedLane = expectedLane;
 	}
@@ -59,24 +60,24 @@
 	@Override
 	public void channelActive(ChannelHandlerContext context) {
 		if (!this.accepting) {
-			context.writeAndFlush(this.greeting.apply(context));
+			context.writeAndFlush(this.handshakeFrame.apply(context));
 		}
 	}
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext context, Frame frame) {
 		switch (frame.getBodyCase()) {
-			case HELLO -> hello(context, frame.getHello());
+			case HELLO -> acceptHello(context, frame.getHello());
 			case WELCOME -> open(context, this.expectedLane, Remote.of(frame.getWelcome()));
 			case PING -> context.writeAndFlush(
 					Frame.newBuilder().setPong(Pong.newBuilder().setNumber(frame.getPing().getNumber())).build());
 			case PONG -> {
 			}
-			default -> pass(context, frame);
+			default -> deliver(context, frame);
 		}
 	}
 
-	private void hello(ChannelHandlerContext context, Hello hello) {
+	private void acceptHello(ChannelHandlerContext context, Hello hello) {
 		if (!this.accepting || this.link != null || hello.getProtocol() != PROTOCOL
 				|| hello.getLane() == Lane.LANE_UNSPECIFIED || hello.getLane() == Lane.UNRECOGNIZED) {
 			LOG.warning("link_refused", "remote", hello.getInstance(), "protocol", hello.getProtocol(), "lane",
@@ -84,7 +85,7 @@
 			context.close();
 			return;
 		}
-		context.writeAndFlush(this.greeting.apply(context));
+		context.writeAndFlush(this.handshakeFrame.apply(context));
 		open(context, hello.getLane(), Remote.of(hello));
 	}
 
@@ -95,7 +96,7 @@
 		}
 	}
 
-	private void pass(ChannelHandlerContext context, Frame frame) {
+	private void deliver(ChannelHandlerContext context, Frame frame) {
 		if (this.link == null) {
 			context.close();
 			return;
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/LinkListener.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/LinkListener.java
@@ -3,27 +3,27 @@
 import org.ragworthook.wire.message.Frame;
 
 /**
- * Takes what happens on links. Calls for one link come one at a time, on the link's own
- * thread, which they must not block.
+ * Receives the events of links. Calls for one link are sequential and run on the link's
+ * event loop, which they must not block.
  */
 public interface LinkListener {
 
 	/**
-	 * A link is open: both sides have greeted.
-	 * @param link the link
+	 * Called when a link has been opened, that is, after its handshake.
+	 * @param link the opened link
 	 */
 	void opened(Link link);
 
 	/**
-	 * A frame has come.
-	 * @param link the link
-	 * @param frame the frame; greetings, pings and pongs are not passed on
+	 * Called when a frame has been received, other than handshakes, pings and pongs.
+	 * @param link the link that received the frame
+	 * @param frame the frame
 	 */
 	void received(Link link, Frame frame);
 
 	/**
-	 * An open link is closed or lost. Called once for each link that was opened.
-	 * @param link the link
+	 * Called once for each opened link, when the link has been closed or lost.
+	 * @param link the closed link
 	 */
 	void closed(Link link);
 
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/LinkOptions.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/LinkOptions.java
@@ -7,23 +7,24 @@
 import org.ragworthook.wire.tls.TlsIdentity;
 
 /**
- * How links behave.
+ * The options of links.
  *
- * @param heartbeat how long a link may be silent before this side sends a ping
- * @param timeout how long the other side may be silent before the link counts as lost
- * @param maxFrameBytes the largest frame taken; a larger one ends the link
+ * @param heartbeat the time without a write after which this side sends a ping
+ * @param timeout the time without a read after which the link is closed
+ * @param maxFrameBytes the maximum size of a received frame in bytes; a larger frame
+ * closes the link
  * @param tls the certificates of this process, empty for plain TCP
  */
 public record LinkOptions(Duration heartbeat, Duration timeout, int maxFrameBytes, Optional<TlsIdentity> tls) {
 
-	private static final Duration HEARTBEAT = Duration.ofSeconds(2);
+	private static final Duration DEFAULT_HEARTBEAT = Duration.ofSeconds(2);
 
-	private static final Duration TIMEOUT = Duration.ofSeconds(6);
+	private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(6);
 
-	private static final int MAX_FRAME_BYTES = 32 << 20;
+	private static final int DEFAULT_MAX_FRAME_BYTES = 32 << 20;
 
 	/**
-	 * Checks the durations.
+	 * Validates the durations.
 	 * @throws IllegalArgumentException if the timeout is not longer than the heartbeat
 	 */
 	public LinkOptions {
@@ -36,18 +37,19 @@
 	}
 
 	/**
-	 * Returns the options for plain TCP with the usual heartbeat.
+	 * Returns the options for plain TCP with the default heartbeat, timeout and frame
+	 * size.
 	 * @return the options
 	 */
 	public static LinkOptions of() {
-		return new LinkOptions(HEARTBEAT, TIMEOUT, MAX_FRAME_BYTES, Optional.empty());
+		return new LinkOptions(DEFAULT_HEARTBEAT, DEFAULT_TIMEOUT, DEFAULT_MAX_FRAME_BYTES, Optional.empty());
 	}
 
 	/**
-	 * Returns these options with other durations.
-	 * @param newHeartbeat silence before a ping
-	 * @param newTimeout silence before the link counts as lost
-	 * @return the options
+	 * Returns these options with another heartbeat and timeout.
+	 * @param newHeartbeat the time without a write after which this side sends a ping
+	 * @param newTimeout the time without a read after which the link is closed
+	 * @return the new options
 	 */
 	public LinkOptions heartbeat(Duration newHeartbeat, Duration newTimeout) {
 		return new LinkOptions(newHeartbeat, newTimeout, this.maxFrameBytes, this.tls);
@@ -56,7 +58,7 @@
 	/**
 	 * Returns these options with mutual TLS.
 	 * @param identity the certificates of this process
-	 * @return the options
+	 * @return the new options
 	 */
 	public LinkOptions tls(TlsIdentity identity) {
 		return new LinkOptions(this.heartbeat, this.timeout, this.maxFrameBytes, Optional.of(identity));
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/LinkServer.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/LinkServer.java
@@ -19,7 +19,7 @@
 import org.ragworthook.wire.message.Welcome;
 
 /**
- * Takes links from other processes.
+ * Accepts links from other processes.
  */
 public final class LinkServer implements AutoCloseable {
 
@@ -35,13 +35,13 @@
 	}
 
 	/**
-	 * Listens for links.
-	 * @param loops the threads of the links
-	 * @param address where to listen; port 0 takes any free port
-	 * @param options how links behave
-	 * @param welcome makes the greeting for each link
-	 * @param listener takes what happens on the links
-	 * @return the server, listening
+	 * Starts listening for links.
+	 * @param loops the event loops that run the links
+	 * @param address the address to listen on; port 0 selects any free port
+	 * @param options the options of the links
+	 * @param welcome supplies the handshake response of each link
+	 * @param listener called with the events of the links
+	 * @return a server that is listening
 	 * @throws LinkException if the address cannot be bound
 	 */
 	public static LinkServer listen(EventLoopGroup loops, Address address, LinkOptions options,
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * Returns where this server listens.
+	 * Returns the address that this server listens on.
 	 * @return the address with its actual port
 	 */
 	public Address address() {
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/Remote.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/Remote.java
@@ -9,21 +9,23 @@
 import org.ragworthook.wire.message.Welcome;
 
 /**
- * The process at the other end of a link, as it greeted.
+ * The process at the other end of a link, as described by its handshake.
  *
- * @param instance its identity, unique to this run
- * @param failureDomain where it stands
- * @param service of a sidecar: the service of its upstream; else the empty text
- * @param models of a sidecar: the models that its upstream has loaded
- * @param load of a sidecar: how busy its upstream was
- * @param leaving whether it was leaving already
- * @param contractVersion the contract version that it acted by
+ * @param instance the process's identifier, unique to this run
+ * @param failureDomain the failure domain that the process runs in
+ * @param service the service of a sidecar's upstream; empty for other processes
+ * @param models the models that a sidecar's upstream has loaded; empty for other
+ * processes
+ * @param load the load of a sidecar's upstream at the handshake; the default instance for
+ * other processes
+ * @param leaving whether the process was already shutting down
+ * @param contractVersion the contract version that the process was using
  */
 public record Remote(String instance, FailureDomain failureDomain, String service, List<String> models, Load load,
 		boolean leaving, long contractVersion) {
 
 	/**
-	 * Copies the models.
+	 * Copies the list of models.
 	 */
 	public Remote {
 		Objects.requireNonNull(instance, "instance is null");
--- a/modules/wire/src/main/java/org/ragworthook/wire/link/package-info.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/link/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Links between processes: TCP connections that carry frames of one lane each, opened
- * with a greeting, kept alive sparsely and, from the side that connects, opened again
- * when lost.
+ * Links between processes: TCP connections that carry the frames of one lane each. A link
+ * starts with a handshake, is kept alive by pings when nothing else is sent and, if lost,
+ * is reopened by the connecting side.
  */
 package org.ragworthook.wire.link;
--- a/modules/wire/src/main/java/org/ragworthook/wire/tls/TlsIdentity.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/tls/TlsIdentity.java
@@ -18,14 +18,14 @@
 import org.ragworthook.core.log.EventLog;
 
 /**
- * The certificates of one process. Both sides of a link show theirs; each must be signed
- * by the common authority, and that of the accepting side must bear its address.
+ * The certificate, private key and trusted authority of one process, for mutual TLS on
+ * its links. The certificates of both sides must be signed by the common authority, and
+ * that of the accepting side must contain its address.
  * <p>
- * Certificates expire. A process that read them only at its start would refuse links on
- * the day of the expiry, everywhere at once. So the files are read again when asked;
- * links that are open go on, new links use the new certificates. Files that do not fit
- * together, as between the replacement of one and the other, leave the former
- * certificates in use.
+ * If certificates were read only at start, all processes would refuse links at once when
+ * they expire. So {@link #refresh} reads the files again: new links use the new
+ * certificates, and open links continue. If the files do not match, for example because
+ * only one of them has been replaced yet, the previous certificates stay in use.
  */
 public final class TlsIdentity {
 
@@ -46,12 +46,13 @@
 	}
 
 	/**
-	 * Reads the certificates of a process.
-	 * @param certificate file of the process's own chain, PEM
-	 * @param key file of its private key, PEM in PKCS#8
-	 * @param authority file of the authority's certificate, PEM
+	 * Loads the certificates of a process.
+	 * @param certificate the PEM file of the process's certificate chain
+	 * @param key the PEM file of the process's private key in PKCS#8 format
+	 * @param authority the PEM file of the trusted authority's certificate
 	 * @return the identity
-	 * @throws ConfigException if a file cannot be read or is no certificate or key
+	 * @throws ConfigException if a file cannot be read or is not a valid certificate or
+	 * key
 	 */
 	public static TlsIdentity load(Path certificate, Path key, Path authority) {
 		TlsIdentity identity = new TlsIdentity(certificate, key, authority);
@@ -91,8 +92,9 @@
 	}
 
 	/**
-	 * Reads the files again.
-	 * @return whether new certificates are in use now
+	 * Reloads the files. If they cannot be used, the failure is logged and the previous
+	 * certificates stay in use.
+	 * @return whether the files have changed and the new certificates are in use
 	 */
 	public boolean refresh() {
 		try {
@@ -111,16 +113,16 @@
 	}
 
 	/**
-	 * Returns the context for the side that accepts links.
-	 * @return a context that demands a certificate of the other side
+	 * Returns the context for the accepting side of new links.
+	 * @return a TLS context that requires a client certificate
 	 */
 	public SslContext server() {
 		return this.contexts.server();
 	}
 
 	/**
-	 * Returns the context for the side that connects.
-	 * @return a context that shows this process's certificate
+	 * Returns the context for the connecting side of new links.
+	 * @return a TLS context that presents this process's certificate
 	 */
 	public SslContext client() {
 		return this.contexts.client();
--- a/modules/wire/src/main/java/org/ragworthook/wire/tls/package-info.java
+++ b/modules/wire/src/main/java/org/ragworthook/wire/tls/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who a process is on its links: certificates read from files and read again when they
- * change.
+ * The TLS identity of a process on its links: certificates that are loaded from files and
+ * reloaded when the files change.
  */
 package org.ragworthook.wire.tls;
--- a/modules/wire/src/test/java/org/ragworthook/wire/link/LinkFuzzTests.java
+++ b/modules/wire/src/test/java/org/ragworthook/wire/link/LinkFuzzTests.java
@@ -22,9 +22,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Anything that reaches the port can send any bytes: a port scanner, a newer version, a
- * peer whose memory is damaged. An entry that let them through as frames would act on
- * nonsense, and one that kept them would run out of memory.
+ * Guards against acting on, or buffering without limit, invalid bytes that reach the link
+ * port, for example from a port scanner, a newer version or a peer with corrupted memory.
  */
 class LinkFuzzTests {
 
@@ -36,8 +35,8 @@
 			MAX_FRAME_BYTES, Optional.empty());
 
 	@Property(seed = SEED, tries = 1000)
-	void shouldTakeNothingBeforeTheGreeting(@ForAll @Size(max = 300) byte[] bytes) {
-		Recording listener = new Recording();
+	void shouldDeliverNoFrameBeforeHandshake(@ForAll @Size(max = 300) byte[] bytes) {
+		RecordingListener listener = new RecordingListener();
 		EmbeddedChannel channel = accepting(listener);
 		channel.writeInbound(Unpooled.wrappedBuffer(bytes));
 		assertThat(listener.received).isEmpty();
@@ -45,30 +44,30 @@
 	}
 
 	@Property(seed = SEED, tries = 1000)
-	void shouldSurviveDamagedFrames(@ForAll @Size(min = 1, max = 12) List<@IntRange(max = 200) Integer> places,
-			@ForAll byte damage) {
-		Recording listener = new Recording();
+	void shouldTolerateCorruptedFrames(@ForAll @Size(min = 1, max = 12) List<@IntRange(max = 200) Integer> offsets,
+			@ForAll byte mask) {
+		RecordingListener listener = new RecordingListener();
 		EmbeddedChannel channel = accepting(listener);
-		channel.writeInbound(framed(hello()));
+		channel.writeInbound(withLength(helloFrame()));
 		byte[] frame = Frame.newBuilder().setInForce(InForce.newBuilder().setVersion(7)).build().toByteArray();
-		for (int place : places) {
-			frame[place % frame.length] ^= damage;
+		for (int offset : offsets) {
+			frame[offset % frame.length] ^= mask;
 			if (channel.isOpen()) {
-				channel.writeInbound(framed(frame));
+				channel.writeInbound(withLength(frame));
 			}
 		}
 		channel.checkException();
-		assertThat(listener.received.size()).isAtMost(places.size());
+		assertThat(listener.received.size()).isAtMost(offsets.size());
 		assertThat(listener.opened).isEqualTo(1);
 		channel.finishAndReleaseAll();
 		assertThat(listener.closed).isEqualTo(1);
 	}
 
 	@Test
-	void shouldEndLinkOfTooLargeFrameWithoutKeepingIt() {
-		Recording listener = new Recording();
+	void shouldCloseLinkOnOversizedLengthField() {
+		RecordingListener listener = new RecordingListener();
 		EmbeddedChannel channel = accepting(listener);
-		channel.writeInbound(framed(hello()));
+		channel.writeInbound(withLength(helloFrame()));
 		channel.writeInbound(Unpooled.buffer().writeInt(MAX_FRAME_BYTES + 1));
 		assertThat(channel.isOpen()).isFalse();
 		assertThat(listener.closed).isEqualTo(1);
@@ -81,7 +80,7 @@
 		return channel;
 	}
 
-	private static byte[] hello() {
+	private static byte[] helloFrame() {
 		Hello hello = Hello.newBuilder()
 			.setLane(Lane.LANE_CONTROL)
 			.setInstance("a")
@@ -92,11 +91,11 @@
 		return Frame.newBuilder().setHello(hello).build().toByteArray();
 	}
 
-	private static ByteBuf framed(byte[] frame) {
+	private static ByteBuf withLength(byte[] frame) {
 		return Unpooled.buffer().writeInt(frame.length).writeBytes(frame);
 	}
 
-	private static final class Recording implements LinkListener {
+	private static final class RecordingListener implements LinkListener {
 
 		private final List<Frame> received = new ArrayList<>();
 
--- a/modules/wire/src/test/java/org/ragworthook/wire/link/package-info.java
+++ b/modules/wire/src/test/java/org/ragworthook/wire/link/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the links.
+ * Tests of links between processes.
  */
 package org.ragworthook.wire.link;
